--- a/packages/jobs/src/lib/process/batch_scheduler.ts
+++ b/packages/jobs/src/lib/process/batch_scheduler.ts
@@ -1,6 +1,7 @@
 /**
- * Decides which items run: those that are done soonest, where targets have room
- * beside online requests; and which give way when a target fills up.
+ * Schedules batch items: starts the items with the shortest remaining time on
+ * targets that have free slots beside online requests, and preempts running
+ * items when a target fills up.
  */
 import {DisposableStore, type Random} from '@oathead/core';
 import {
@@ -15,119 +16,144 @@
 } from '@oathead/gateway';
 import type {ItemWork} from './item_work.js';
 import {
-  compareOutlooks,
+  compareEstimates,
   ItemDurations,
-  type ItemOutlook,
+  type ItemEstimate,
   type Urgency,
 } from './item_durations.js';
 import {runItem, type ItemRunContext} from './item_runner.js';
-import {silenceLimitMs} from './item_silence.js';
+import {idleTimeoutMs} from './item_idle_timeout.js';
 import type {OwnedJob} from './owned_job.js';
 
-/** What a {@link BatchScheduler} needs. */
+/** Dependencies of a {@link BatchScheduler}. */
 export interface SchedulerContext extends ItemRunContext {
   readonly chooser: TargetChooser;
   readonly placement: ItemPlacement;
   readonly directory: TargetDirectory;
   readonly routing: RoutingState;
   readonly random: Random;
-  /** This host's run, as other hosts know it from its loads. */
+  /** Member id of this host's incarnation, as in its load reports. */
   readonly self: string;
-  /** The store's steady clock, in milliseconds. */
+  /**
+   * The store's monotonic clock, in milliseconds; undefined until it is known.
+   */
   readonly storeTimeMs: () => number | undefined;
 }
 
-/** How often places are looked for, in milliseconds: a place that is free for a
- * tick costs an item of five seconds nothing. */
-const TICK_MS = 25;
-/** How often the texts so far are kept, in milliseconds: what a lost host costs
- * of each of its items at the most, a fifth of an item of five seconds. */
-const CHECKPOINT_MS = 1000;
-/** Items that are started at one tick at the most. Other hosts' loads are as
- * old as their last message; a host that filled all it sees free would meet
- * others that do the same. */
-const STARTS_PER_TICK = 3;
-/** A route for which there was no place is left alone for so long, in milliseconds. */
-const FULL_MS = {
-  /** The own view changes with the next loads: to the next tick. */
-  ownView: TICK_MS / 2,
-  /** A try is a question to another host. */
+/**
+ * Interval at which the scheduler looks for free slots, in milliseconds. A slot
+ * that stays free for one interval is negligible against an item of five
+ * seconds.
+ */
+const SCHEDULING_INTERVAL_MS = 25;
+/**
+ * Interval at which partial texts are stored, in milliseconds. It bounds the
+ * work that each running item loses with its host: a fifth of an item of five
+ * seconds.
+ */
+const CHECKPOINT_INTERVAL_MS = 1000;
+/**
+ * Maximum number of items started per scheduling interval. Load reports of
+ * other hosts are as old as their last message, so hosts that fill every slot
+ * they see free would overload the same targets.
+ */
+const MAX_STARTS_PER_TICK = 3;
+/** How long a route without a free slot is skipped, in milliseconds. */
+const FULL_ROUTE_BACKOFF_MS = {
+  /**
+   * The local load table changes with the next load report, so the route is
+   * tried again in the next interval.
+   */
+  ownView: SCHEDULING_INTERVAL_MS / 2,
+  /** Each attempt sends a placement request to another host. */
   coordinator: 50,
 } as const;
-/** How long a route must be missing before its items are given up, in ms: the
- * time within which a configuration is in force everywhere, doubled. */
-const ROUTE_MISSING_MS = 5000;
+/**
+ * How long a route must be missing before its items fail, in milliseconds:
+ * twice the time within which a configuration takes effect on all hosts.
+ */
+const ROUTE_MISSING_TIMEOUT_MS = 5000;
 
 interface Candidate {
   readonly job: OwnedJob;
   readonly work: ItemWork;
-  readonly outlook: ItemOutlook;
+  readonly estimate: ItemEstimate;
 }
 
-/** What is late already waits for places that nothing else needs. */
+/** Items that are already late only use slots that nothing else needs. */
 const PRESSURE: Readonly<Record<Urgency, BatchPressure>> = {
   pressed: 'pressed',
   relaxed: 'relaxed',
   late: 'relaxed',
 };
 
-/** Items that are due soon have places which others may not take. */
-function fullKey({name}: Route, {outlook}: Candidate): string {
-  return `${PRESSURE[outlook.urgency]} ${name}`;
+/**
+ * Key of the backoff of a route. It includes the pressure, since slots are
+ * reserved for urgent items: a route that is full for relaxed items may have
+ * slots for urgent ones.
+ */
+function fullRouteKey({name}: Route, {estimate}: Candidate): string {
+  return `${PRESSURE[estimate.urgency]} ${name}`;
 }
 
-function moreUrgentFirst(a: Candidate, b: Candidate): number {
-  return compareOutlooks(a.outlook, b.outlook);
+function byPriority(a: Candidate, b: Candidate): number {
+  return compareEstimates(a.estimate, b.estimate);
 }
 
-/** Starts and ends runs of items until disposed. */
+/** Starts and preempts runs of items until it is disposed. */
 export class BatchScheduler implements Disposable {
-  private readonly held = new DisposableStore();
-  private readonly missingSince = new Map<string, number>();
+  private readonly disposables = new DisposableStore();
+  private readonly routeMissingSince = new Map<string, number>();
   private readonly durations = new ItemDurations();
-  /** Until when a route is taken to have no place, by pressure and its name. */
-  private readonly fullUntil = new Map<string, number>();
+  /** Time until which a route is considered full, by {@link fullRouteKey}. */
+  private readonly routeFullUntil = new Map<string, number>();
   private paused = false;
   private starting = false;
 
   /**
    * @param context - Targets, loads and routes.
-   * @param jobs - The jobs that this host works on now.
+   * @param jobs - Returns the jobs that this host owns now.
    */
   constructor(
     private readonly context: SchedulerContext,
     private readonly jobs: () => Iterable<OwnedJob>,
   ) {}
 
-  /** Begins to run items. */
+  /** Starts scheduling. */
   start(): void {
-    const timer = setInterval(() => this.tick(), TICK_MS);
-    this.held.defer(() => clearInterval(timer));
-    const keep = setInterval(() => this.checkpoint(), CHECKPOINT_MS);
-    this.held.defer(() => clearInterval(keep));
-    this.context.loads.onChange(() => this.yieldItems());
+    const schedulingTimer = setInterval(
+      () => this.tick(),
+      SCHEDULING_INTERVAL_MS,
+    );
+    this.disposables.defer(() => clearInterval(schedulingTimer));
+    const checkpointTimer = setInterval(
+      () => this.checkpoint(),
+      CHECKPOINT_INTERVAL_MS,
+    );
+    this.disposables.defer(() => clearInterval(checkpointTimer));
+    this.context.loads.onChange(() => this.preemptExcessItems());
   }
 
-  /** Starts nothing more: a planned stop is under way. */
+  /** Starts no further items, for a graceful shutdown. */
   pause(): void {
     this.paused = true;
   }
 
   /**
-   * Ends items before loads tell that they have to: an online request was placed at
-   * their target.
+   * Preempts items without waiting for load reports, because an online request
+   * was placed on their target.
    *
-   * @param targetId - Where.
-   * @param items - How many of this host's.
+   * @param targetId - Target on which the request was placed.
+   * @param count - Number of items of this host to preempt.
    */
-  giveWay(targetId: string, items: number): void {
+  preemptItems(targetId: string, count: number): void {
     const running = this.runningByTarget().get(targetId);
-    if (running) this.endLeastUrgent(running, items);
+    if (running) this.preemptLeastUrgent(running, count);
   }
 
-  /** Ends the decisions; runs go on until their jobs are closed. */
+  /** Stops scheduling. Running items continue until their jobs are disposed. */
   [Symbol.dispose](): void {
-    this.held[Symbol.dispose]();
+    this.disposables[Symbol.dispose]();
   }
 
   private checkpoint(): void {
@@ -135,18 +161,18 @@
   }
 
   private tick(): void {
-    this.endSilentRuns();
-    this.yieldItems();
+    this.endIdleRuns();
+    this.preemptExcessItems();
     if (!this.paused) void this.startItems();
   }
 
-  private endSilentRuns(): void {
+  private endIdleRuns(): void {
     const now = this.context.clock.now();
     for (const job of this.jobs()) {
-      for (const {stage, silentRuns} of job.work) {
+      for (const {stage, idleTimeouts} of job.work) {
         if (stage.kind !== 'running') continue;
-        const silentMs = stage.control.silentMs(now);
-        if (silentMs > silenceLimitMs(silentRuns)) stage.control.end('silent');
+        const idleMs = stage.control.silentMs(now);
+        if (idleMs > idleTimeoutMs(idleTimeouts)) stage.control.end('silent');
       }
     }
   }
@@ -161,20 +187,24 @@
     }
   }
 
-  /** One after another: each place that is taken counts for the next. */
+  /**
+   * Starts items one after another, so that each placement takes the previous
+   * ones into account.
+   */
   private async startMostUrgent(): Promise<void> {
     let started = 0;
     for (const candidate of this.candidates()) {
-      const route = this.routeOf(candidate);
+      const route = this.resolveRoute(candidate);
       if (!route || this.isFull(route, candidate)) continue;
-      if (this.context.crashes.isItemBlocked(candidate.work.print)) continue;
+      if (this.context.crashes.isItemBlocked(candidate.work.fingerprint))
+        continue;
       await this.startItem(candidate, route);
-      if (++started >= STARTS_PER_TICK) return;
+      if (++started >= MAX_STARTS_PER_TICK) return;
     }
   }
 
   private isFull(route: Route, candidate: Candidate): boolean {
-    const until = this.fullUntil.get(fullKey(route, candidate));
+    const until = this.routeFullUntil.get(fullRouteKey(route, candidate));
     return until !== undefined && until > this.context.clock.now();
   }
 
@@ -184,13 +214,18 @@
     const {stage} = work;
     const target = await this.targetFor(route, candidate);
     if (!target) {
-      const forMs = FULL_MS[placement.asksOthers ? 'coordinator' : 'ownView'];
-      this.fullUntil.set(fullKey(route, candidate), clock.now() + forMs);
+      const backoffMs =
+        FULL_ROUTE_BACKOFF_MS[placement.asksOthers ? 'coordinator' : 'ownView'];
+      this.routeFullUntil.set(
+        fullRouteKey(route, candidate),
+        clock.now() + backoffMs,
+      );
       return;
     }
-    // It was given up, or its job ended or went to another host meanwhile.
+    // While the placement was pending, the item may have failed, or its job may
+    // have been cancelled or handed over.
     if (work.stage !== stage || job.closed || this.paused) return;
-    crashes.startsItem(work.print);
+    crashes.startsItem(work.fingerprint);
     runItem(this.context, job, work, route, target, () =>
       this.durations.add(job.head, work),
     );
@@ -198,36 +233,36 @@
 
   private targetFor(
     route: Route,
-    {outlook}: Candidate,
+    {estimate}: Candidate,
   ): Promise<Target | undefined> {
     const {placement, random} = this.context;
     const services = route.services.map(({service}) => service);
     const first = random.int(services.length);
-    return placement.forItem(services[first]!, PRESSURE[outlook.urgency]);
+    return placement.forItem(services[first]!, PRESSURE[estimate.urgency]);
   }
 
-  /** @returns Items that may start now, the most urgent first. */
+  /** @returns The items that may start now, in order of priority. */
   private candidates(): readonly Candidate[] {
     const now = this.context.clock.now();
     const candidates: Candidate[] = [];
     for (const job of this.jobs()) {
-      this.giveUpExpired(job);
+      this.failExpiredItems(job);
       for (const work of job.work) {
         const {stage} = work;
         if (stage.kind === 'waiting' && stage.notBefore <= now)
           candidates.push(this.candidate(job, work));
       }
     }
-    return candidates.sort(moreUrgentFirst);
+    return candidates.sort(byPriority);
   }
 
   private candidate(job: OwnedJob, work: ItemWork): Candidate {
-    const leftMs = job.dueAtMs - (this.context.storeTimeMs() ?? 0);
-    const outlook = this.durations.outlookOf(job.head, work, leftMs);
-    return {job, work, outlook};
+    const untilDueMs = job.dueAtMs - (this.context.storeTimeMs() ?? 0);
+    const estimate = this.durations.estimate(job.head, work, untilDueMs);
+    return {job, work, estimate};
   }
 
-  private giveUpExpired(job: OwnedJob): void {
+  private failExpiredItems(job: OwnedJob): void {
     const {acceptedAtMs, retentionMs} = job.head;
     const now = this.context.storeTimeMs() ?? 0;
     if (now < acceptedAtMs + retentionMs) return;
@@ -235,35 +270,42 @@
       if (work.stage.kind === 'waiting') job.finish(work, 'failed');
   }
 
-  /** @returns The route of an item; its item is given up if it stays away. */
-  private routeOf({job, work}: Candidate): Route | undefined {
+  /**
+   * Resolves the route of an item. The item fails if its route has been missing
+   * for {@link ROUTE_MISSING_TIMEOUT_MS}.
+   *
+   * @returns The route; undefined if the configuration has none.
+   */
+  private resolveRoute({job, work}: Candidate): Route | undefined {
     const {routing, clock} = this.context;
     const {hostName} = job.head;
     const {path} = work.item;
     const route = routing.current?.match(hostName, path);
     const key = `${hostName} ${path}`;
     if (route) {
-      this.missingSince.delete(key);
+      this.routeMissingSince.delete(key);
       return route;
     }
-    const since = this.missingSince.get(key) ?? clock.now();
-    this.missingSince.set(key, since);
-    if (clock.now() - since < ROUTE_MISSING_MS) return undefined;
-    this.missingSince.delete(key);
+    const since = this.routeMissingSince.get(key) ?? clock.now();
+    this.routeMissingSince.set(key, since);
+    if (clock.now() - since < ROUTE_MISSING_TIMEOUT_MS) return undefined;
+    this.routeMissingSince.delete(key);
     job.finish(work, 'failed');
     return undefined;
   }
 
-  private yieldItems(): void {
+  private preemptExcessItems(): void {
     const running = this.runningByTarget();
     for (const [targetId, candidates] of running) {
       const target = this.context.directory.get(targetId);
       if (!target) continue;
       const {chooser, loads, self} = this.context;
-      const nearlyDone = candidates.filter(one => one.outlook.nearlyDone);
+      const nearlyDone = candidates.filter(
+        candidate => candidate.estimate.nearlyDone,
+      );
       loads.markNearlyDone(targetKey(targetId), nearlyDone.length);
       const excess = chooser.itemsToYield(target, self);
-      if (excess > 0) this.endLeastUrgent(candidates, excess);
+      if (excess > 0) this.preemptLeastUrgent(candidates, excess);
     }
   }
 
@@ -273,16 +315,16 @@
       for (const work of job.work) {
         if (work.stage.kind !== 'running') continue;
         const {targetId} = work.stage;
-        const here = running.get(targetId) ?? [];
-        running.set(targetId, here);
-        here.push(this.candidate(job, work));
+        const atTarget = running.get(targetId) ?? [];
+        running.set(targetId, atTarget);
+        atTarget.push(this.candidate(job, work));
       }
     }
     return running;
   }
 
-  private endLeastUrgent(candidates: Candidate[], count: number): void {
-    candidates.sort((a, b) => moreUrgentFirst(b, a));
+  private preemptLeastUrgent(candidates: Candidate[], count: number): void {
+    candidates.sort((a, b) => byPriority(b, a));
     for (const {work} of candidates.slice(0, count))
       if (work.stage.kind === 'running') work.stage.control.end('yield');
   }
--- a/packages/jobs/src/lib/process/head_writer.ts
+++ b/packages/jobs/src/lib/process/head_writer.ts
@@ -1,8 +1,8 @@
 /**
- * Writes a job's head, and results with it, on behalf of its owner. Each write
- * expects the head as the last one left it: as soon as anyone else has written
- * it, the caller who ends the job or the host that takes it over, nothing more
- * of this owner's gets into the store.
+ * Writes a job's head, together with results, on behalf of the job's owner.
+ * Each write expects the head version of the previous write. The owner is
+ * therefore fenced as soon as anyone else writes the head: a caller that
+ * cancels the job or a host that takes it over.
  */
 import {
   failure,
@@ -26,28 +26,28 @@
   type VersionedHead,
 } from '../request/job_rows.js';
 
-/** Why a write came to nothing: the job is not this owner's any more. */
+/** Error of a write that was fenced: this host no longer owns the job. */
 export interface OwnershipLost {
   readonly kind: 'ownership-lost';
   readonly state: JobHead['state'] | 'gone';
   readonly owner: string;
 }
 
-/** What a {@link HeadWriter} needs. */
+/** Dependencies of a {@link HeadWriter}. */
 export interface HeadWriterContext {
   readonly store: RowStore;
   readonly clock: Clock;
   readonly random: Random;
 }
 
-/** Between two tries while the store gives no answer, in milliseconds. */
-const RETRY_MS = 250;
+/** Delay between attempts while the store does not respond, in milliseconds. */
+const RETRY_DELAY_MS = 250;
 
-/** Writes the head of one job. One write at a time. */
+/** Writes the head of one job. Writes must not overlap. */
 export class HeadWriter {
   /**
-   * @param context - The store.
-   * @param current - The head as this owner has it.
+   * @param context - Store, clock and randomness.
+   * @param current - Head that makes this host the owner.
    * @param signal - Aborted when the owner stops.
    */
   constructor(
@@ -56,21 +56,22 @@
     private readonly signal: AbortSignal,
   ) {}
 
-  /** The head as the last write left it. */
+  /** The head after the last successful write. */
   get head(): JobHead {
     return this.current.head;
   }
 
   /**
-   * Writes until the store has said what became of it.
+   * Writes the head and retries until the store reports the outcome.
    *
-   * Guards against lost answers: the same write is sent again, and since each
-   * try expects the same version of the head, at most one takes effect. A
-   * conflict with a head that carries this write's nonce is its success.
+   * Guards against lost responses: every attempt sends the same write and
+   * expects the same version of the head, so at most one takes effect. A
+   * conflict with a head that carries the nonce of this write means that an
+   * earlier attempt succeeded.
    *
-   * @param change - What changes in the head.
-   * @param puts - What is written with it.
-   * @returns Whether it is written; a failure ends the ownership.
+   * @param change - Changed fields of the head.
+   * @param puts - Rows written in the same transaction.
+   * @returns Success once written; a failure means that ownership is lost.
    */
   async write(
     change: Partial<JobHead>,
@@ -89,13 +90,13 @@
       const written = await store.transact(transaction);
       if (written.ok) return this.adopt(next, written.value.version);
       if (written.err.kind === 'conflict')
-        return this.settle(next, written.err.rows);
-      if (this.signal.aborted) return failure(this.lost());
-      await sleep(clock, RETRY_MS, this.signal);
+        return this.resolveConflict(next, written.err.rows);
+      if (this.signal.aborted) return failure(this.ownershipLost());
+      await sleep(clock, RETRY_DELAY_MS, this.signal);
     }
   }
 
-  private settle(
+  private resolveConflict(
     next: JobHead,
     rows: readonly VersionedRow[],
   ): Outcome<void, OwnershipLost> {
@@ -103,7 +104,7 @@
     const head = row && decodeJson(row.value, JOB_HEAD);
     if (row && head?.ok && head.value.nonce === next.nonce)
       return this.adopt(next, row.version);
-    return failure(this.lost(head?.ok ? head.value : undefined));
+    return failure(this.ownershipLost(head?.ok ? head.value : undefined));
   }
 
   private adopt(head: JobHead, version: number): Outcome<void, OwnershipLost> {
@@ -111,7 +112,7 @@
     return success(undefined);
   }
 
-  private lost(head?: JobHead): OwnershipLost {
+  private ownershipLost(head?: JobHead): OwnershipLost {
     return {
       kind: 'ownership-lost',
       state: head?.state ?? 'gone',
--- a/packages/jobs/src/lib/process/item_durations.ts
+++ b/packages/jobs/src/lib/process/item_durations.ts
@@ -1,123 +1,145 @@
 /**
- * How long items take at targets, learnt from those that were done, and what
- * that means for those that wait.
+ * Estimates how long items take on targets, from items that have completed, and
+ * derives the urgency of pending and running items.
  */
 import type {JobHead} from '../request/job_rows.js';
 import type {ItemWork} from './item_work.js';
 
-/** How an item stands to the time at which it is due. */
+/** Urgency of an item relative to its due time. */
 export type Urgency =
-  /** There is time to wait for a quiet moment. */
+  /** There is enough time to wait for a period of low load. */
   | 'relaxed'
-  /** It has to start soon. */
+  /** Urgent: the item has to start soon to be in time. */
   | 'pressed'
-  /** It can't be done in time any more. */
+  /** The item can no longer be completed in time. */
   | 'late';
 
-/** An item that waits or runs, as it stands to the time at which it is due. */
-export interface ItemOutlook {
+/** Estimate for a pending or running item, relative to its due time. */
+export interface ItemEstimate {
   readonly urgency: Urgency;
-  /** How long it still needs at a target, in milliseconds. */
-  readonly needsMs: number;
-  /** Until it is due, in milliseconds; negative: it is overdue. */
-  readonly leftMs: number;
-  /** Half of it or more is done, and it can be in time. */
+  /** Remaining time on a target, in milliseconds. */
+  readonly remainingMs: number;
+  /** Time until the item is due, in milliseconds; negative if it is overdue. */
+  readonly untilDueMs: number;
+  /**
+   * Whether at least half of the item is done and it can be completed in time.
+   */
   readonly nearlyDone: boolean;
 }
 
-/** What an item's duration goes by. */
+/** Fields of a job head that the estimates depend on. */
 export type ItemKind = Pick<JobHead, 'hostName' | 'completionGoalMs'>;
 
-/** What the items of a host name have taken. */
-interface KnownItems {
+/** Moving averages over the items of a host name. */
+interface ItemStats {
   readonly texts: number;
   readonly msPerText: number;
 }
 
-/** Weight of the newest item in the mean: some ten items count. */
-const NEWEST_WEIGHT = 0.1;
-/** Before any item was done, it is taken to need this share of its job's time. */
-const FIRST_GUESS_SHARE = 0.25;
-/** With so much of it left or less, an item counts as nearly done. */
-const NEARLY_DONE_SHARE = 0.5;
-/** What is left of an item that was cut is at least this share of the mean. */
-const LEAST_LEFT_SHARE = 0.1;
-/** An item is pressed when less than so many times its duration is left: room
- * for two bursts in which it gives way. */
-const PRESSED_DURATIONS = 2;
+/**
+ * Weight of the newest item in the moving average: about the last ten items
+ * count.
+ */
+const EWMA_WEIGHT = 0.1;
+/**
+ * Estimated duration of an item before any item has completed, as a fraction of
+ * the completion goal of its job.
+ */
+const INITIAL_ESTIMATE_FRACTION = 0.25;
+/** Remaining fraction at or below which an item counts as nearly done. */
+const NEARLY_DONE_FRACTION = 0.5;
+/** Lower bound for the remaining fraction of an item that was interrupted. */
+const MIN_REMAINING_FRACTION = 0.1;
+/**
+ * An item is urgent if the time until it is due is less than this multiple of
+ * its remaining time. The margin covers two bursts of online requests in which
+ * it is preempted.
+ */
+const URGENT_DURATION_FACTOR = 2;
 
-/** Keeps the mean size and pace of items by host name. */
+/** Keeps the average size and speed of items by host name. */
 export class ItemDurations {
-  private readonly known = new Map<string, KnownItems>();
+  private readonly statsByHostName = new Map<string, ItemStats>();
 
   /**
-   * @param kind - What its job says of an item that was done.
-   * @param work - The item.
+   * Adds a completed item to the averages.
+   *
+   * @param kind - Head of its job.
+   * @param work - The completed item.
    */
   add({hostName}: ItemKind, work: ItemWork): void {
     const texts = work.texts.length;
-    const made = texts - work.inheritedTexts;
-    if (made <= 0) return;
-    const newest = {texts, msPerText: work.ranMs / made};
-    const known = this.known.get(hostName) ?? newest;
-    this.known.set(hostName, {
-      texts: mix(known.texts, newest.texts),
-      msPerText: mix(known.msPerText, newest.msPerText),
+    const generated = texts - work.inheritedTexts;
+    if (generated <= 0) return;
+    const newest = {texts, msPerText: work.runTimeMs / generated};
+    const stats = this.statsByHostName.get(hostName) ?? newest;
+    this.statsByHostName.set(hostName, {
+      texts: movingAverage(stats.texts, newest.texts),
+      msPerText: movingAverage(stats.msPerText, newest.msPerText),
     });
   }
 
   /**
-   * @param kind - What its job says of an item.
-   * @param work - The item.
-   * @param leftMs - Until it is due, in milliseconds.
-   * @returns How it stands.
+   * Estimates the remaining time and the urgency of an item.
+   *
+   * @param kind - Head of its job.
+   * @param work - The pending or running item.
+   * @param untilDueMs - Time until it is due, in milliseconds.
+   * @returns The estimate.
    */
-  outlookOf(kind: ItemKind, work: ItemWork, leftMs: number): ItemOutlook {
-    const wholeMs = this.wholeMs(kind);
-    const leftShare = Math.max(this.leftShare(kind, work), LEAST_LEFT_SHARE);
-    const needsMs = wholeMs * leftShare;
-    const urgency = urgencyOf(needsMs, leftMs);
-    const nearlyDone = urgency !== 'late' && leftShare <= NEARLY_DONE_SHARE;
-    return {urgency, needsMs, leftMs, nearlyDone};
+  estimate(kind: ItemKind, work: ItemWork, untilDueMs: number): ItemEstimate {
+    const totalMs = this.totalMs(kind);
+    const remainingFraction = Math.max(
+      this.remainingFraction(kind, work),
+      MIN_REMAINING_FRACTION,
+    );
+    const remainingMs = totalMs * remainingFraction;
+    const urgency = urgencyOf(remainingMs, untilDueMs);
+    const nearlyDone =
+      urgency !== 'late' && remainingFraction <= NEARLY_DONE_FRACTION;
+    return {urgency, remainingMs, untilDueMs, nearlyDone};
   }
 
-  private wholeMs({hostName, completionGoalMs}: ItemKind): number {
-    const known = this.known.get(hostName);
-    if (!known) return completionGoalMs * FIRST_GUESS_SHARE;
-    return known.texts * known.msPerText;
+  private totalMs({hostName, completionGoalMs}: ItemKind): number {
+    const stats = this.statsByHostName.get(hostName);
+    if (!stats) return completionGoalMs * INITIAL_ESTIMATE_FRACTION;
+    return stats.texts * stats.msPerText;
   }
 
-  private leftShare(kind: ItemKind, work: ItemWork): number {
-    const known = this.known.get(kind.hostName);
-    if (!known) return 1 - work.ranMs / this.wholeMs(kind);
-    return 1 - work.texts.length / known.texts;
+  private remainingFraction(kind: ItemKind, work: ItemWork): number {
+    const stats = this.statsByHostName.get(kind.hostName);
+    if (!stats) return 1 - work.runTimeMs / this.totalMs(kind);
+    return 1 - work.texts.length / stats.texts;
   }
 }
 
-function urgencyOf(needsMs: number, leftMs: number): Urgency {
-  if (leftMs < needsMs) return 'late';
-  return leftMs < needsMs * PRESSED_DURATIONS ? 'pressed' : 'relaxed';
+function urgencyOf(remainingMs: number, untilDueMs: number): Urgency {
+  if (untilDueMs < remainingMs) return 'late';
+  return untilDueMs < remainingMs * URGENT_DURATION_FACTOR
+    ? 'pressed'
+    : 'relaxed';
 }
 
-function mix(mean: number, newest: number): number {
-  return mean + (newest - mean) * NEWEST_WEIGHT;
+function movingAverage(mean: number, newest: number): number {
+  return mean + (newest - mean) * EWMA_WEIGHT;
 }
 
 /**
- * Items that can be done in time go before those that are late: in overload an
- * order by due time alone runs late items first and makes all others late.
- * Among them those go first that are done soonest: by due time alone an item that
- * gave way lost its place to a fresh one of its own job, and on a day of overload
- * 229 of 532 s of target time went into items that were not finished.
+ * Orders items by priority. Items that can be completed in time go before late
+ * ones: in overload, ordering by due time alone runs late items first and makes
+ * all others late. Among them, the shortest remaining time goes first: ordered
+ * by due time alone, a preempted item lost its slot to a new item of its own
+ * job, and in overload 229 of 532 s of target time were spent on items that did
+ * not finish.
  *
- * @param a - An item.
- * @param b - Another.
- * @returns Negative: `a` goes first.
+ * @param a - Estimate of an item.
+ * @param b - Estimate of another item.
+ * @returns Negative if `a` goes first.
  */
-export function compareOutlooks(a: ItemOutlook, b: ItemOutlook): number {
+export function compareEstimates(a: ItemEstimate, b: ItemEstimate): number {
   return (
     Number(a.urgency === 'late') - Number(b.urgency === 'late') ||
-    a.needsMs - b.needsMs ||
-    a.leftMs - b.leftMs
+    a.remainingMs - b.remainingMs ||
+    a.untilDueMs - b.untilDueMs
   );
 }
--- a/packages/jobs/src/lib/process/item_runner.ts
+++ b/packages/jobs/src/lib/process/item_runner.ts
@@ -1,4 +1,4 @@
-/** Runs one item once at one target, and says what that means for the item. */
+/** Runs one item once on one target and applies the outcome to the item. */
 import type {Tracer} from '@opentelemetry/api';
 import {
   dataOf,
@@ -19,7 +19,7 @@
 import type {ItemWork} from './item_work.js';
 import type {OwnedJob} from './owned_job.js';
 
-/** What running items needs. */
+/** Dependencies for running items. */
 export interface ItemRunContext extends SendContext {
   readonly log: EventLog;
   readonly counters: Counters;
@@ -27,33 +27,38 @@
   readonly tracer: Tracer;
 }
 
-/** How long an item waits after an end that says nothing against it, in ms:
- * after it gave way, until the burst's next requests have found their places;
- * after an answer that is no answer, until a target may have come back. */
-const WAIT_MS = {
+/**
+ * Delay before an item is retried after a run that does not count as its
+ * failure, in milliseconds. After a preemption, the delay lasts until the next
+ * requests of the burst have been placed; after a run without a usable
+ * response, until the target may have recovered.
+ */
+const RETRY_DELAY_MS = {
   yield: 250,
   declined: 60,
   unsent: 60,
   broken: 100,
-  odd: 500,
+  unexpectedStatus: 500,
 } as const;
-/** The longest run that a target is asked for, in milliseconds: several times
- * the longest answer at a full engine. */
-const LONGEST_RUN_MS = 60_000;
+/**
+ * Deadline sent to the target, in milliseconds: several times the duration of
+ * the longest response of a fully loaded engine.
+ */
+const RUN_DEADLINE_MS = 60_000;
 
 const STATUS_OK = 200;
-const STATUS_IMPOSSIBLE = 422;
-const STATUS_FAILED = 500;
+const STATUS_UNPROCESSABLE = 422;
+const STATUS_SERVER_ERROR = 500;
 
 /**
- * Sends an item and follows it to its end.
+ * Sends an item to a target and handles the end of the run.
  *
- * @param context - Connections and loads.
- * @param job - Its job.
- * @param work - The item, waiting.
- * @param route - The route of its path.
- * @param target - Where it runs.
- * @param onDone - Called when the item has its whole text.
+ * @param context - Connections, loads, log and tracer.
+ * @param job - Job of the item.
+ * @param work - The item, in stage `waiting`.
+ * @param route - Route of the item's path.
+ * @param target - Target that runs the item.
+ * @param onDone - Called when the text of the item is complete.
  */
 export function runItem(
   context: ItemRunContext,
@@ -79,9 +84,9 @@
     headers: context.protocol.requestHeaders(hop.headers, {
       requestId: item.id,
       serverId: target.serverId,
-      deadlineMs: LONGEST_RUN_MS,
+      deadlineMs: RUN_DEADLINE_MS,
       lastEventId: work.lastEventId,
-      account: senderOf(job),
+      account: senderAccountOf(job),
     }),
     body: Buffer.from(item.body),
     firstEventId:
@@ -103,24 +108,27 @@
     control: sending.control,
   };
   void sending.end.then(end => {
-    work.ranMs += context.clock.now() - startedAt;
+    work.runTimeMs += context.clock.now() - startedAt;
     hop.end(end.kind);
     trace.end(end.kind === 'streamed' ? undefined : end.kind);
     if (end.kind === 'streamed') onDone();
     if (sink.received || end.kind === 'answered')
-      context.crashes.answered(work.print);
-    else if (mayHaveCrashed(end)) context.crashes.broke(work.print, target.id);
-    settle(context, job, work, end, target);
+      context.crashes.answered(work.fingerprint);
+    else if (mayHaveCrashed(end))
+      context.crashes.broke(work.fingerprint, target.id);
+    handleRunEnd(context, job, work, end, target);
   });
 }
 
-function senderOf({head: {account}}: OwnedJob): SenderAccount | undefined {
+function senderAccountOf({
+  head: {account},
+}: OwnedJob): SenderAccount | undefined {
   return account === undefined ? undefined : {name: account};
 }
 
-/** Collects the text of an item. */
+/** Appends the events of a run to the text of its item. */
 class TextSink implements EventSink {
-  /** Whether this run has brought anything. */
+  /** Whether this run has received any events. */
   received = false;
 
   constructor(private readonly work: ItemWork) {}
@@ -138,7 +146,7 @@
   paused(): void {}
 }
 
-function settle(
+function handleRunEnd(
   context: ItemRunContext,
   job: OwnedJob,
   work: ItemWork,
@@ -152,7 +160,7 @@
     item: work.item.id,
     target: target.id,
     end: end.kind,
-    reason: reasonOf(end),
+    reason: endReasonOf(end),
     afterEvent: work.lastEventId,
   });
   if (end.kind === 'streamed') {
@@ -160,26 +168,31 @@
     return;
   }
   if (end.kind === 'answered') {
-    settleAnswer(job, work, end.head.status, now);
+    handleAnswer(job, work, end.head.status, now);
     return;
   }
-  const wait = end.kind === 'ended' ? WAIT_MS.yield : WAIT_MS[end.kind];
-  if (end.kind === 'ended' && end.by === 'silent') work.silentRuns++;
-  work.stage = {kind: 'waiting', notBefore: now + wait};
+  const delayMs =
+    end.kind === 'ended' ? RETRY_DELAY_MS.yield : RETRY_DELAY_MS[end.kind];
+  if (end.kind === 'ended' && end.by === 'silent') work.idleTimeouts++;
+  work.stage = {kind: 'waiting', notBefore: now + delayMs};
 }
 
-function settleAnswer(
+function handleAnswer(
   job: OwnedJob,
   work: ItemWork,
   status: number,
   now: number,
 ): void {
-  if (status === STATUS_IMPOSSIBLE) job.finish(work, 'failed');
-  else if (status === STATUS_FAILED) job.fail(work);
-  else work.stage = {kind: 'waiting', notBefore: now + WAIT_MS.odd};
+  if (status === STATUS_UNPROCESSABLE) job.finish(work, 'failed');
+  else if (status === STATUS_SERVER_ERROR) job.fail(work);
+  else
+    work.stage = {
+      kind: 'waiting',
+      notBefore: now + RETRY_DELAY_MS.unexpectedStatus,
+    };
 }
 
-function reasonOf(end: ExchangeEnd): string | undefined {
+function endReasonOf(end: ExchangeEnd): string | undefined {
   if (end.kind === 'ended') return end.by;
   if (end.kind === 'answered') return String(end.head.status);
   return 'reason' in end ? end.reason : undefined;
--- a/packages/jobs/src/lib/process/item_work.ts
+++ b/packages/jobs/src/lib/process/item_work.ts
@@ -1,58 +1,60 @@
-/** The state of one item while its job is being worked on. */
+/** State of one item while its job is processed. */
 import {CrashSuspects, type ExchangeControl} from '@oathead/gateway';
 import type {JobItem} from '../request/job.js';
 
-/** Text of an item that was cut, and where it goes on. */
+/** Partial text of an interrupted item and the event after which it resumes. */
 export interface PartialText {
-  /** The number of the last event that is in `texts`. */
+  /** Id of the last event contained in `texts`. */
   readonly lastEventId: number | undefined;
-  /** The data of the events so far. */
+  /** Data of the events received so far. */
   readonly texts: readonly string[];
 }
 
-/** Where an item stands. */
+/** Stage of an item. */
 export type ItemStage =
-  /** To be run at `notBefore` or later. */
+  /** Waits to be run, at the earliest at `notBefore`. */
   | {readonly kind: 'waiting'; readonly notBefore: number}
-  /** At a target. */
+  /** Runs on a target. */
   | {
       readonly kind: 'running';
       readonly targetId: string;
       readonly control: ExchangeControl;
     }
-  /** Waits until a failed run is written down. */
+  /** Waits until a failed run is recorded in the job head. */
   | {readonly kind: 'recording'}
-  /** Has a result, which may not be listed yet. */
+  /** Has a result, which may not be written yet. */
   | {readonly kind: 'finished'};
 
-/** An item that is being worked on. */
+/** An item of a job that this host owns. */
 export interface ItemWork {
   readonly index: number;
   readonly item: JobItem;
-  /** Names the item by what it asks. */
-  readonly print: string;
+  /** Fingerprint of the item's path and body. */
+  readonly fingerprint: string;
   stage: ItemStage;
   failures: number;
   lastEventId: number | undefined;
   texts: string[];
-  /** How many of `texts` came under earlier owners. */
+  /** Number of entries of `texts` received under earlier owners. */
   readonly inheritedTexts: number;
-  /** How many of `texts` are in the store already. */
-  keptTexts: number;
-  /** How often it was sent to a target. */
+  /** Number of entries of `texts` that are already in the store. */
+  checkpointedTexts: number;
+  /** Number of runs on targets. */
   runs: number;
-  /** How many of them were ended because nothing came. */
-  silentRuns: number;
-  /** How long it was at targets, in milliseconds. */
-  ranMs: number;
+  /** Number of runs that ended by idle timeout. */
+  idleTimeouts: number;
+  /** Total time on targets, in milliseconds. */
+  runTimeMs: number;
 }
 
 /**
- * @param index - Its position in the job.
- * @param item - As it was handed in.
- * @param failures - Failed runs under earlier owners.
- * @param partial - What earlier owners have of its text.
- * @returns The item, waiting.
+ * Creates the state of an item.
+ *
+ * @param index - Index of the item in its job.
+ * @param item - The item as submitted.
+ * @param failures - Number of failed runs under earlier owners.
+ * @param partial - Partial text stored by earlier owners.
+ * @returns The item in stage `waiting`.
  */
 export function newItemWork(
   index: number,
@@ -63,15 +65,15 @@
   return {
     index,
     item,
-    print: CrashSuspects.fingerprintOf(item.path, item.body),
+    fingerprint: CrashSuspects.fingerprintOf(item.path, item.body),
     stage: {kind: 'waiting', notBefore: 0},
     failures,
     lastEventId: partial?.lastEventId,
     texts: [...(partial?.texts ?? [])],
     inheritedTexts: partial?.texts.length ?? 0,
-    keptTexts: partial?.texts.length ?? 0,
+    checkpointedTexts: partial?.texts.length ?? 0,
     runs: 0,
-    silentRuns: 0,
-    ranMs: 0,
+    idleTimeouts: 0,
+    runTimeMs: 0,
   };
 }
--- a/packages/jobs/src/lib/process/job_janitor.ts
+++ b/packages/jobs/src/lib/process/job_garbage_collector.ts
@@ -1,8 +1,9 @@
 /**
- * Removes jobs that are long closed, so that the store does not fill up. Each
- * job is removed by one host, chosen like an owner; two that both think they
- * are it remove the same rows. The head goes last: a removal that is cut is
- * found again by it.
+ * Removes closed jobs after their retention period, so that the store does not
+ * fill up. Each job is assigned to one host by rendezvous hashing, as owners
+ * are; if two hosts both consider themselves assigned, they remove the same
+ * rows. The head is removed last, so that an interrupted removal is found again
+ * through it.
  */
 import {DisposableStore, rendezvous, repeat, type Clock} from '@oathead/core';
 import type {EventLog} from '@oathead/core';
@@ -13,7 +14,7 @@
   type RowStore,
   type TableUpdate,
 } from '@oathead/stores';
-import {contentName} from '../request/job_content.js';
+import {contentObjectName} from '../request/job_content.js';
 import {
   CONTENT_TABLE,
   headRef,
@@ -24,64 +25,75 @@
   type VersionedHead,
 } from '../request/job_rows.js';
 
-/** What a {@link JobJanitor} needs. */
-export interface JanitorContext {
+/** Dependencies of a {@link JobGarbageCollector}. */
+export interface JobGarbageCollectorContext {
   readonly store: RowStore;
   readonly clock: Clock;
   readonly log: EventLog;
   readonly membership: Membership;
   /** @returns How long a closed job stays readable, in milliseconds. */
-  readonly keepMs: () => number;
+  readonly closedJobRetentionMs: () => number;
 }
 
-/** How often closed jobs are looked through, in milliseconds. */
-const SWEEP_MS = 10_000;
-/** Jobs that one sweep removes at the most: the writes must not crowd out those
- * of jobs that run. */
-const JOBS_PER_SWEEP = 20;
-/** Rows of a transaction at the most, below the store's 100. */
-const ROWS_PER_WRITE = 90;
+/** Interval between checks for expired jobs, in milliseconds. */
+const SWEEP_INTERVAL_MS = 10_000;
+/**
+ * Maximum number of jobs removed per sweep, so that the deletions do not crowd
+ * out the writes of running jobs.
+ */
+const MAX_JOBS_PER_SWEEP = 20;
+/**
+ * Maximum number of rows in one transaction, below the store's limit of 100.
+ */
+const MAX_ROWS_PER_TRANSACTION = 90;
 const JOB_TABLES = [CONTENT_TABLE, RESULT_TABLE, PARTIAL_TABLE] as const;
 
-/** Removes closed jobs until disposed. */
-export class JobJanitor implements Disposable {
-  private readonly held = new DisposableStore();
+/** Removes closed jobs until it is disposed. */
+export class JobGarbageCollector implements Disposable {
+  private readonly disposables = new DisposableStore();
   private readonly closed = new Map<string, VersionedHead>();
 
-  /** @param context - The store, the members, and how long jobs are kept. */
-  constructor(private readonly context: JanitorContext) {}
+  /** @param context - Store, membership and retention period. */
+  constructor(private readonly context: JobGarbageCollectorContext) {}
 
-  /** Begins to look for jobs to remove. */
+  /** Starts the periodic sweep. */
   start(): void {
     const {clock} = this.context;
-    this.held.add(repeat(clock, SWEEP_MS, () => this.sweep()));
+    this.disposables.add(repeat(clock, SWEEP_INTERVAL_MS, () => this.sweep()));
   }
 
-  /** Ends it. */
+  /** Stops the periodic sweep. */
   [Symbol.dispose](): void {
-    this.held[Symbol.dispose]();
+    this.disposables[Symbol.dispose]();
   }
 
-  /** @param update - What the watch of the heads has brought. */
+  /**
+   * Applies changed job heads.
+   *
+   * @param update - Changes reported by the watch on the heads.
+   */
   update({put, removed}: TableUpdate): void {
     for (const {key, value, version} of put) {
       const head = decodeJson(value, JOB_HEAD);
-      // The keeper says in the log that it can't be read.
+      // JobOwnership logs heads that cannot be decoded.
       if (!head.ok || head.value.state === 'open') continue;
       this.closed.set(key, {head: head.value, version});
     }
     for (const {key} of removed) this.closed.delete(key);
   }
 
-  /** Removes the jobs that are due. */
+  /** Removes the expired jobs that are assigned to this host. */
   async sweep(): Promise<void> {
-    const {membership, store, keepMs} = this.context;
+    const {membership, store, closedJobRetentionMs} = this.context;
     const now = store.storeTimeMs() ?? 0;
     const live = membership.live().map(({id}) => id);
     const due = [...this.closed.values()]
-      .filter(({head}) => now > (head.closedAtMs ?? now) + keepMs())
+      .filter(
+        ({head}) => now > (head.closedAtMs ?? now) + closedJobRetentionMs(),
+      )
       .filter(({head}) => rendezvous(head.id, live)[0] === membership.self.id);
-    for (const found of due.slice(0, JOBS_PER_SWEEP)) await this.remove(found);
+    for (const found of due.slice(0, MAX_JOBS_PER_SWEEP))
+      await this.remove(found);
   }
 
   private async remove({head, version}: VersionedHead): Promise<void> {
@@ -90,7 +102,7 @@
       if (!(await this.removeRows(table, head.id))) return;
     if (head.content.kind === 'objects')
       for (let i = 0; i < head.content.pieces; i++)
-        await store.removeObject(contentName(head.id, i));
+        await store.removeObject(contentObjectName(head.id, i));
     const ref = headRef(head.id);
     const expect = [{...ref, version}];
     const done = await store.transact({expect, puts: [], removes: [ref]});
@@ -98,11 +110,14 @@
     log.event('job-removed', {job: head.id, outcome});
   }
 
-  /** @returns Whether all rows of the job are gone from the table. */
+  /** @returns Whether all rows of the job have been removed from the table. */
   private async removeRows(table: string, jobId: string): Promise<boolean> {
     const {store} = this.context;
     for (;;) {
-      const range = {...jobRowRange(table, jobId), limit: ROWS_PER_WRITE};
+      const range = {
+        ...jobRowRange(table, jobId),
+        limit: MAX_ROWS_PER_TRANSACTION,
+      };
       const page = await store.read(range);
       if (!page.ok) return false;
       const removes: readonly RowRef[] = page.value.rows.map(
--- a/packages/jobs/src/lib/process/job_keeper.ts
+++ b/packages/jobs/src/lib/process/job_ownership.ts
@@ -1,6 +1,6 @@
 /**
- * Which jobs this host works on: those it has accepted, those handed to it, and
- * its share of those whose owner's lease has ended.
+ * Determines which jobs this host owns: jobs it has accepted, jobs handed over
+ * to it, and its share of the jobs whose owner's lease has expired.
  */
 import {
   DisposableStore,
@@ -31,19 +31,25 @@
 import {newItemWork, type ItemWork, type PartialText} from './item_work.js';
 import {OwnedJob, type OwnedJobContext} from './owned_job.js';
 
-/** What a {@link JobKeeper} needs. */
-export interface JobKeeperContext extends OwnedJobContext {
+/** Dependencies of {@link JobOwnership}. */
+export interface JobOwnershipContext extends OwnedJobContext {
   readonly reader: JobReader;
   readonly membership: Membership;
   readonly counters: Counters;
 }
 
-/** How often jobs without an owner are looked for, in milliseconds. */
-const SWEEP_MS = 500;
-/** How long a job must be without an owner before it is taken, in ms: a host
- * that has just started may be known by its job before it is by its heartbeat. */
-const ORPHAN_MS = 1500;
-/** Closed jobs that are remembered: far more than close while one is read. */
+/** Interval between checks for orphaned jobs, in milliseconds. */
+const SWEEP_INTERVAL_MS = 500;
+/**
+ * How long a job must be without a live owner before another host claims it, in
+ * milliseconds. A host that has just started may show up as the owner of a job
+ * before its first heartbeat is seen.
+ */
+const ORPHAN_GRACE_MS = 1500;
+/**
+ * Maximum number of closed jobs remembered: far more than close while the items
+ * of one job are read.
+ */
 const MAX_CLOSED_JOBS = 4096;
 
 const PARTIAL = z.object({
@@ -51,58 +57,71 @@
   texts: z.array(z.string()),
 });
 
-/** Keeps the jobs of this host. */
-export class JobKeeper implements Disposable {
-  private readonly held = new DisposableStore();
+/** Tracks the jobs that this host owns. */
+export class JobOwnership implements Disposable {
+  private readonly disposables = new DisposableStore();
   private readonly heads = new Map<string, VersionedHead>();
   private readonly owned = new Map<string, OwnedJob>();
   private readonly loading = new Set<string>();
-  /** Jobs that were done or ended; none of them is opened again. */
+  /** Jobs that are done or cancelled; they are never adopted again. */
   private readonly closed = new LRUCache<string, true>({max: MAX_CLOSED_JOBS});
   private readonly orphanSince = new Map<string, number>();
   private stopping = false;
 
-  /** @param context - The store, the reader and the members. */
-  constructor(private readonly context: JobKeeperContext) {}
+  /** @param context - Store, reader and membership. */
+  constructor(private readonly context: JobOwnershipContext) {}
 
-  /** Begins to look for jobs without an owner. */
+  /** Starts the periodic search for orphaned jobs. */
   start(): void {
-    this.held.add(repeat(this.clock, SWEEP_MS, () => this.sweep()));
+    this.disposables.add(
+      repeat(this.clock, SWEEP_INTERVAL_MS, () => this.sweep()),
+    );
   }
 
-  /** Ends all work here; nothing is handed over. */
+  /** Stops all work on jobs without handing them over. */
   [Symbol.dispose](): void {
-    this.held[Symbol.dispose]();
+    this.disposables[Symbol.dispose]();
     for (const job of [...this.owned.values()]) job[Symbol.dispose]();
   }
 
-  /** @returns The jobs that this host works on now. */
+  /** @returns The jobs that this host owns now. */
   jobs(): Iterable<OwnedJob> {
     return this.owned.values();
   }
 
-  /** @param accepted - A job that this host has just accepted. */
+  /**
+   * Adopts a job that this host has just accepted.
+   *
+   * @param accepted - Head as written on acceptance.
+   */
   accepted(accepted: VersionedHead): void {
     void this.adopt(accepted, 'accepted');
   }
 
-  /** @returns Who is to work on a job that is accepted now. */
-  ownerOfNew(): string {
+  /**
+   * @returns Owner of a job that is accepted now: this host, or another host
+   *   during shutdown.
+   */
+  ownerForNewJob(): string {
     if (!this.stopping) return this.self;
     const peers = this.context.membership.peers();
     return peers[this.context.random.int(peers.length)]?.id ?? '';
   }
 
-  /** @param update - What the watch of the heads has brought. */
+  /**
+   * Applies changed job heads.
+   *
+   * @param update - Changes reported by the watch on the heads.
+   */
   update({put, removed}: TableUpdate): void {
-    for (const row of put) this.see(row);
+    for (const row of put) this.handleHeadRow(row);
     for (const {key} of removed) this.heads.delete(key);
   }
 
-  /** Hands all jobs to other hosts, for a planned stop. */
+  /** Hands all jobs over to other hosts, for a graceful shutdown. */
   async handOverAll(): Promise<void> {
     this.stopping = true;
-    this.held[Symbol.dispose]();
+    this.disposables[Symbol.dispose]();
     const peers = this.context.membership.peers().map(({id}) => id);
     const jobs = [...this.owned.values()];
     await Promise.all(
@@ -118,7 +137,7 @@
     return this.context.membership.self.id;
   }
 
-  private see(row: VersionedRow): void {
+  private handleHeadRow(row: VersionedRow): void {
     const decoded = decodeJson(row.value, JOB_HEAD);
     if (!decoded.ok) {
       this.context.log.event('job-head-unreadable', {
@@ -132,17 +151,18 @@
       this.closed.set(head.id, true);
       this.heads.delete(head.id);
       this.orphanSince.delete(head.id);
-      this.letGo(head);
+      this.release(head);
       return;
     }
     this.heads.set(head.id, {head, version: row.version});
-    if (head.owner !== this.self) this.letGo(head);
+    if (head.owner !== this.self) this.release(head);
     else void this.adopt({head, version: row.version}, 'handed over');
   }
 
-  private letGo(head: JobHead): void {
+  private release(head: JobHead): void {
     const job = this.owned.get(head.id);
-    // The watch may show this owner's own last write before it has the answer.
+    // The watch may report this owner's own last write before the store's
+    // response to it arrives.
     if (!job || (head.owner === this.self && head.state === 'done')) return;
     this.context.log.event('job-let-go', {
       job: head.id,
@@ -173,7 +193,7 @@
     const now = this.clock.now();
     const since = this.orphanSince.get(id) ?? now;
     this.orphanSince.set(id, since);
-    return now - since >= ORPHAN_MS;
+    return now - since >= ORPHAN_GRACE_MS;
   }
 
   private async claim({head, version}: VersionedHead): Promise<void> {
@@ -190,7 +210,7 @@
       from: head.owner,
       outcome: written.ok ? 'written' : written.err.kind,
     });
-    // Without an answer the watch shows whether it was written.
+    // Without a response, the watch shows whether the claim was written.
     if (!written.ok) return;
     await this.adopt({head: next, version: written.value.version}, 'claimed');
   }
@@ -202,8 +222,9 @@
     const work = await this.load(found.head, how === 'accepted');
     this.loading.delete(id);
     if (!work || this.stopping) return;
-    // Guards against items of an ended job that run on: the end may come while the
-    // items are read, or between a sweep's look at the heads and this job's turn.
+    // Guards against running items of a cancelled job: it may be cancelled
+    // while its items are read, or after a sweep has taken its copy of the
+    // heads and before it gets to this job.
     if (this.closed.has(id)) return;
     const latest = this.heads.get(id) ?? found;
     const head = latest.version > found.version ? latest : found;
@@ -219,18 +240,20 @@
     this.owned.set(id, new OwnedJob(this.context, head, work, drop));
   }
 
-  /** @returns The items without a result; undefined: the store can't say. */
+  /**
+   * @returns The items without a result; undefined if the store cannot be read.
+   */
   private async load(
     head: JobHead,
-    fresh: boolean,
+    isNew: boolean,
   ): Promise<readonly ItemWork[] | undefined> {
     const {reader} = this.context;
     const items = await reader.items(head.id);
     if (!items.ok) return undefined;
-    const results = fresh ? undefined : await reader.allResults(head.id);
+    const results = isNew ? undefined : await reader.allResults(head.id);
     if (results && !results.ok) return undefined;
     const listed = new Set(results?.value.map(({id}) => id));
-    const partials = fresh ? new Map() : await this.partials(head);
+    const partials = isNew ? new Map() : await this.partials(head);
     return items.value
       .map((item, i) =>
         newItemWork(i, item, head.failures[i] ?? 0, partials.get(i)),
@@ -244,13 +267,13 @@
     const texts = new Map<number, PartialText>();
     const range = jobRowRange(PARTIAL_TABLE, head.id);
     const page = await this.context.store.read(range);
-    // Without them the items run from the start.
+    // Without partial texts the items start from the beginning.
     if (!page.ok) return texts;
     for (const {key, value} of page.value.rows) {
       const partial = decodeJson(value, PARTIAL);
       if (!partial.ok) continue;
-      const {lastEventId, texts: so} = partial.value;
-      texts.set(indexOfKey(key), {lastEventId, texts: so});
+      const {lastEventId, texts: partialTexts} = partial.value;
+      texts.set(indexOfKey(key), {lastEventId, texts: partialTexts});
     }
     return texts;
   }
--- a/packages/jobs/src/lib/process/owned_job.ts
+++ b/packages/jobs/src/lib/process/owned_job.ts
@@ -1,4 +1,4 @@
-/** A job that this host works on: its items, and the list of its results. */
+/** A job that this host owns: its items and the list of its results. */
 import type {EventLog} from '@oathead/core';
 import {encodeJson, type RowPut} from '@oathead/stores';
 import type {ItemResult} from '../request/job.js';
@@ -14,19 +14,21 @@
 import {HeadWriter, type HeadWriterContext} from './head_writer.js';
 import type {ItemWork} from './item_work.js';
 
-/** What an {@link OwnedJob} needs. */
+/** Dependencies of an {@link OwnedJob}. */
 export interface OwnedJobContext extends HeadWriterContext {
   readonly limits: StoreLimits;
   readonly log: EventLog;
 }
 
-/** Texts that are not whole in one transaction at the most; it may have 100
- * rows. */
-const PARTIALS_PER_WRITE = 80;
-/** Results in one transaction at the most. */
-const RESULTS_PER_WRITE = 40;
+/**
+ * Maximum number of partial texts in one transaction, below the store's limit
+ * of 100 rows.
+ */
+const MAX_PARTIALS_PER_TRANSACTION = 80;
+/** Maximum number of results in one transaction. */
+const MAX_RESULTS_PER_TRANSACTION = 40;
 
-/** Works on one job until it is done, ended or another's. */
+/** Processes one job until it is done, cancelled or owned by another host. */
 export class OwnedJob implements Disposable {
   private readonly stop = new AbortController();
   private readonly writer: HeadWriter;
@@ -36,10 +38,11 @@
   private checkpointing = false;
 
   /**
-   * @param context - The store and the log.
-   * @param head - The head that makes this host the owner.
-   * @param work - The items that have no listed result.
-   * @param onClosed - Called once when there is nothing left to do here.
+   * @param context - Store, limits and log.
+   * @param head - Head that makes this host the owner.
+   * @param work - Items that have no result in the store.
+   * @param onClosed - Called once when this host has nothing left to do for the
+   *   job.
    */
   constructor(
     private readonly context: OwnedJobContext,
@@ -50,24 +53,28 @@
     this.writer = new HeadWriter(context, head, this.stop.signal);
   }
 
-  /** The head as this owner has it. */
+  /** The head after this owner's last write. */
   get head(): JobHead {
     return this.writer.head;
   }
 
-  /** When the results are due, on the store's clock in milliseconds. */
+  /**
+   * Time at which the results are due, on the store's clock in milliseconds.
+   */
   get dueAtMs(): number {
     return this.head.acceptedAtMs + this.head.completionGoalMs;
   }
 
-  /** Whether it is not worked on any more. */
+  /** Whether this host has stopped processing the job. */
   get closed(): boolean {
     return this.stop.signal.aborted;
   }
 
   /**
-   * @param work - An item of the job.
-   * @param state - What became of it.
+   * Records the result of an item.
+   *
+   * @param work - Item of the job.
+   * @param state - Outcome of the item.
    */
   finish(work: ItemWork, state: ItemResult['state']): void {
     if (this.closed || work.stage.kind === 'finished') return;
@@ -79,10 +86,11 @@
   }
 
   /**
-   * Counts a failed run. The item waits until that is written down: a host that
-   * takes the job over must not grant it all its attempts again.
+   * Counts a failed run. The item is not retried until the failure is in the
+   * store: otherwise a host that takes the job over would grant it all attempts
+   * again.
    *
-   * @param work - An item of the job.
+   * @param work - Item of the job.
    */
   fail(work: ItemWork): void {
     work.failures++;
@@ -105,9 +113,9 @@
   }
 
   /**
-   * Hands the job to another host, with the text that there is so far.
+   * Hands the job over to another host, including its partial texts.
    *
-   * @param owner - The run of a process that goes on with it.
+   * @param owner - Member id of the host incarnation that takes it over.
    */
   async handOver(owner: string): Promise<void> {
     for (const {stage} of this.work)
@@ -126,9 +134,9 @@
   }
 
   /**
-   * Keeps the text that there is so far, so that a host that takes the job over
-   * goes on from there. Nothing fences these rows: each holds the first events
-   * of an item up to a number, whoever has written it.
+   * Stores the partial texts, so that a host that takes the job over resumes
+   * from them. These rows are not fenced: each holds the events of an item from
+   * the first up to some id, whichever host has written it.
    */
   async checkpoint(): Promise<void> {
     const puts = this.partialRows();
@@ -144,20 +152,23 @@
       });
   }
 
-  /** @returns Texts that have grown since they were written last. */
+  /**
+   * @returns Rows of the partial texts that have grown since they were last
+   *   stored.
+   */
   private partialRows(): readonly RowPut[] {
     const puts: RowPut[] = [];
     let bytes = 0;
     for (const work of this.work) {
       const {index, stage, lastEventId, texts} = work;
-      if (stage.kind === 'finished' || texts.length === work.keptTexts)
+      if (stage.kind === 'finished' || texts.length === work.checkpointedTexts)
         continue;
       const value = encodeJson({lastEventId, texts});
       bytes += value.length;
       const {rowBytes, transactionBytes} = this.context.limits;
       if (value.length > rowBytes || bytes > transactionBytes) continue;
-      if (puts.length >= PARTIALS_PER_WRITE) break;
-      work.keptTexts = texts.length;
+      if (puts.length >= MAX_PARTIALS_PER_TRANSACTION) break;
+      work.checkpointedTexts = texts.length;
       puts.push({...jobRowRef(PARTIAL_TABLE, this.head.id, index), value});
     }
     return puts;
@@ -211,7 +222,7 @@
     const puts: RowPut[] = [];
     const results: ItemResult[] = [];
     let bytes = 0;
-    for (const result of this.finished.slice(0, RESULTS_PER_WRITE)) {
+    for (const result of this.finished.slice(0, MAX_RESULTS_PER_TRANSACTION)) {
       const position = this.head.listed + results.length;
       const value = await this.resultValue(result);
       bytes += value.length;
@@ -225,12 +236,13 @@
   }
 
   private async resultValue(result: ItemResult): Promise<Uint8Array> {
-    const here = encodeJson({kind: 'here', ...result} satisfies StoredResult);
-    if (here.length <= this.context.limits.rowBytes) return here;
-    // The same item may have run twice with one text: its name tells runs apart.
+    const inline = encodeJson({kind: 'here', ...result} satisfies StoredResult);
+    if (inline.length <= this.context.limits.rowBytes) return inline;
+    // The same item may have run twice: the nonce of the head keeps the objects
+    // of its runs apart.
     const name = `text-${encodeURIComponent(result.id)}-${this.head.nonce}`;
     for (;;) {
-      const put = await this.context.store.putObject(name, here);
+      const put = await this.context.store.putObject(name, inline);
       const stored = put.ok || put.err.kind === 'conflict';
       if (stored || this.closed)
         return encodeJson({kind: 'object', name} satisfies StoredResult);
--- a/packages/jobs/src/lib/request/job.ts
+++ b/packages/jobs/src/lib/request/job.ts
@@ -1,22 +1,24 @@
-/** Batch jobs as the rest of the package knows them. */
+/** Data model of batch jobs, shared by the rest of the package. */
 
-/** One item as it was handed in. */
+/** One item as submitted. */
 export interface JobItem {
   readonly id: string;
-  /** Path and query at a target. */
+  /** Path and query of the request to a target. */
   readonly path: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Uint8Array;
-  /** Tokens of the prompt and of the longest answer, together. */
+  /** Tokens of the prompt plus the maximum number of tokens of the response. */
   readonly tokens: number;
 }
 
 /**
- * Callers choose the ids of their jobs, and two client accounts may choose the same:
- * each account has its own jobs, and reaches no others.
+ * Computes the id of a job in the store. Callers choose the ids of their jobs,
+ * and two client accounts may choose the same one: the account is part of the
+ * id, so that an account cannot reach jobs of others.
  *
- * @param account - The client account; undefined: there are none.
- * @param callerId - As the caller names the job.
+ * @param account - Name of the client account; undefined if the deployment has
+ *   no accounts.
+ * @param callerId - Id of the job as chosen by the caller.
  * @returns The job's id in the store and in the log.
  */
 export function jobIdOf(account: string | undefined, callerId: string): string {
@@ -24,34 +26,40 @@
   return `${encodeURIComponent(account)}:${callerId}`;
 }
 
-/** A batch job as it was handed in. */
+/** A batch job as submitted. */
 export interface JobSubmission {
   readonly id: string;
-  /** The client account under which its items run; undefined: there are none. */
+  /**
+   * Client account under which the items run; undefined if there are no
+   * accounts.
+   */
   readonly account: string | undefined;
-  /** The host name by which it came, and by which its items go on. */
+  /**
+   * Host name under which the job was submitted; its items are sent under it
+   * too.
+   */
   readonly hostName: string;
   readonly items: readonly JobItem[];
-  /** When its results are due after it was handed in, in milliseconds. */
+  /** Time from acceptance until the results are due, in milliseconds. */
   readonly completionGoalMs: number;
-  /** When its items may be given up, in milliseconds. */
+  /** Time from acceptance after which pending items fail, in milliseconds. */
   readonly retentionMs: number;
-  /** After how many failed runs an item is given up. */
+  /** Number of failed runs after which an item fails. */
   readonly maxAttempts: number;
 }
 
-/** What became of an item. */
+/** Outcome of an item. */
 export interface ItemResult {
   readonly id: string;
   readonly state: 'succeeded' | 'failed';
-  /** The data of all events, joined by line feeds; empty where it failed. */
+  /** Data of all events, joined by line feeds; empty if the item failed. */
   readonly text: string;
 }
 
-/** Results of a job from one position on. */
+/** Results of a job, starting at a given position. */
 export interface ResultPage {
   readonly total: number;
-  /** The position behind the last one returned. */
+  /** Position after the last result of the page. */
   readonly next: number;
   readonly results: readonly ItemResult[];
 }
--- a/packages/jobs/src/lib/request/job_end.ts
+++ b/packages/jobs/src/lib/request/job_cancellation.ts
@@ -1,14 +1,14 @@
-/** Ends a job on its caller's order. */
+/** Cancels a job at the request of its caller. */
 import {sleep, type Clock, type EventLog, type Random} from '@oathead/core';
 import {encodeJson, type RowStore} from '@oathead/stores';
 import type {JobReader} from './job_reader.js';
 import {headRef} from './job_rows.js';
 
-/** What came of ending a job. */
-export type EndResult = 'ended' | 'not-found' | 'unsure';
+/** Outcome of cancelling a job. A cancelled job has the state `ended`. */
+export type CancelResult = 'ended' | 'not-found' | 'unsure';
 
-/** What ending a job needs. */
-export interface EndContext {
+/** Dependencies for cancelling a job. */
+export interface CancelContext {
   readonly store: RowStore;
   readonly reader: JobReader;
   readonly clock: Clock;
@@ -16,30 +16,35 @@
   readonly log: EventLog;
 }
 
-/** An owner that lists results writes the head too: so many rounds are enough
- * for the end to get between two of its writes. */
-const MAX_ROUNDS = 8;
-/** After a round in which the store gave no answer, in milliseconds. */
-const RETRY_MS = 120;
+/**
+ * An owner that writes results also writes the head. This number of attempts is
+ * enough for the cancellation to get in between two of its writes.
+ */
+const MAX_ATTEMPTS = 8;
+/**
+ * Delay after an attempt that the store did not respond to, in milliseconds.
+ */
+const RETRY_DELAY_MS = 120;
 
 /**
- * Marks a job as ended. The mark fences its owner: what the owner writes on top
- * of the older head is refused from then on.
+ * Marks a job as cancelled. The write fences the owner: its later writes, which
+ * expect the older head, are rejected.
  *
- * @param context - The store and its reader.
- * @param jobId - The job.
- * @returns What came of it; `ended` also when it was done or ended before.
+ * @param context - Store, reader, clock and log.
+ * @param jobId - Id of the job.
+ * @returns `ended` also if the job was done or cancelled before; `unsure` if
+ *   the store did not confirm the write.
  */
-export async function endJob(
-  context: EndContext,
+export async function cancelJob(
+  context: CancelContext,
   jobId: string,
-): Promise<EndResult> {
+): Promise<CancelResult> {
   const {store, reader, clock, random, log} = context;
-  for (let i = 0; i < MAX_ROUNDS; i++) {
+  for (let i = 0; i < MAX_ATTEMPTS; i++) {
     const found = await reader.head(jobId);
     if (!found.ok && found.err.kind === 'not-found') return 'not-found';
     if (!found.ok) {
-      await sleep(clock, RETRY_MS);
+      await sleep(clock, RETRY_DELAY_MS);
       continue;
     }
     const {head, version} = found.value;
@@ -60,8 +65,8 @@
       log.event('job-ended', {job: jobId, owner: head.owner, rounds: i + 1});
       return 'ended';
     }
-    // Without an answer the next round reads what became of it.
-    if (written.err.kind !== 'conflict') await sleep(clock, RETRY_MS);
+    // Without a response, the next attempt reads whether the write took effect.
+    if (written.err.kind !== 'conflict') await sleep(clock, RETRY_DELAY_MS);
   }
   log.event('job-end-unsure', {job: jobId});
   return 'unsure';
--- a/packages/jobs/src/lib/request/job_content.ts
+++ b/packages/jobs/src/lib/request/job_content.ts
@@ -1,4 +1,7 @@
-/** What was handed in, packed and cut into pieces that the store takes. */
+/**
+ * Serializes the submitted items and splits them into pieces within the limits
+ * of the store.
+ */
 import {failure, success, type Outcome} from '@oathead/core';
 import {
   type RowPut,
@@ -16,32 +19,32 @@
   type JobHead,
 } from './job_rows.js';
 
-/** What the store takes in one piece. */
+/** Size limits of the store. */
 export interface StoreLimits {
-  /** Bytes of a row's value at the most. */
+  /** Maximum size of a row's value, in bytes. */
   readonly rowBytes: number;
-  /** Bytes of all values of a transaction at the most. */
+  /** Maximum size of all values of a transaction, in bytes. */
   readonly transactionBytes: number;
-  /** Bytes of an object at the most. */
+  /** Maximum size of an object, in bytes. */
   readonly objectBytes: number;
 }
 
-/** Content that is ready to be written. */
-export interface CutContent {
+/** Content of a job that is ready to be written. */
+export interface SplitContent {
   readonly content: JobHead['content'];
-  /** Rows that go into the transaction that accepts the job. */
+  /** Rows written in the transaction that accepts the job. */
   readonly puts: readonly RowPut[];
-  /** Objects that are written before it. */
+  /** Objects written before that transaction. */
   readonly objects: readonly StoredObject[];
 }
 
-/** An object with its name. */
+/** An object and its name in the store. */
 export interface StoredObject {
   readonly name: string;
   readonly bytes: Uint8Array;
 }
 
-/** Why content could not be read. */
+/** Error of reading the content of a job. */
 export type ContentError = RowStoreError | UnreadableRow;
 
 const ITEMS = z.array(
@@ -55,26 +58,28 @@
 );
 
 /**
- * @param jobId - The job.
- * @param items - Its items.
- * @param limits - What the store takes.
- * @returns The pieces: rows where they fit one transaction, else objects.
+ * Serializes items and splits them into pieces.
+ *
+ * @param jobId - Id of the job.
+ * @param items - Items of the job.
+ * @param limits - Size limits of the store.
+ * @returns Rows if the content fits into one transaction, else objects.
  */
-export function cutContent(
+export function splitContent(
   jobId: string,
   items: readonly JobItem[],
   limits: StoreLimits,
-): CutContent {
+): SplitContent {
   const bytes: Uint8Array = pack(items);
   if (bytes.length <= limits.transactionBytes) {
-    const puts = cut(bytes, limits.rowBytes).map((value, i) => ({
+    const puts = splitBytes(bytes, limits.rowBytes).map((value, i) => ({
       ...jobRowRef(CONTENT_TABLE, jobId, i),
       value,
     }));
     return {content: {kind: 'rows', pieces: puts.length}, puts, objects: []};
   }
-  const objects = cut(bytes, limits.objectBytes).map((piece, i) => ({
-    name: contentName(jobId, i),
+  const objects = splitBytes(bytes, limits.objectBytes).map((piece, i) => ({
+    name: contentObjectName(jobId, i),
     bytes: piece,
   }));
   const content = {kind: 'objects', pieces: objects.length} as const;
@@ -82,9 +87,12 @@
 }
 
 /**
- * @param store - Where the pieces lie.
- * @param head - Of the job.
- * @returns The items as they were handed in.
+ * Reads the items of a job.
+ *
+ * @param store - Store that holds the pieces.
+ * @param head - Head of the job.
+ * @returns The items as submitted; an error if a piece cannot be read, is
+ *   missing or cannot be decoded.
  */
 export async function loadContent(
   store: RowStore,
@@ -93,12 +101,15 @@
   const pieces = await LOADERS[head.content.kind](store, head);
   if (!pieces.ok) return pieces;
   if (pieces.value.length !== head.content.pieces)
-    return failure({kind: 'unreadable', message: 'pieces are missing'});
+    return failure({
+      kind: 'unreadable',
+      message: 'job content is incomplete: pieces are missing',
+    });
   return unpackItems(Buffer.concat(pieces.value));
 }
 
-/** @returns The name of the object with one piece of a job. */
-export function contentName(jobId: string, piece: number): string {
+/** @returns The name of the object that holds one piece of a job. */
+export function contentObjectName(jobId: string, piece: number): string {
   return `job-${encodeURIComponent(jobId)}-${piece}`;
 }
 
@@ -116,7 +127,7 @@
   async objects(store, head) {
     const pieces: Uint8Array[] = [];
     for (let i = 0; i < head.content.pieces; i++) {
-      const piece = await store.getObject(contentName(head.id, i));
+      const piece = await store.getObject(contentObjectName(head.id, i));
       if (!piece.ok) return piece;
       pieces.push(piece.value);
     }
@@ -134,7 +145,10 @@
   }
 }
 
-function cut(bytes: Uint8Array, pieceBytes: number): readonly Uint8Array[] {
+function splitBytes(
+  bytes: Uint8Array,
+  pieceBytes: number,
+): readonly Uint8Array[] {
   const pieces: Uint8Array[] = [];
   for (let at = 0; at < bytes.length; at += pieceBytes)
     pieces.push(bytes.subarray(at, at + pieceBytes));
--- a/packages/jobs/src/lib/request/job_intake.ts
+++ b/packages/jobs/src/lib/request/job_intake.ts
@@ -1,75 +1,84 @@
 /**
- * Accepts batch jobs: once, however often and wherever they are handed in.
- * Whoever hands one in learns whether it was accepted, was not, or may be.
+ * Accepts batch jobs. Submission is idempotent: a job is accepted once, however
+ * often and on whichever host it is submitted. The caller learns whether the
+ * job was accepted, was refused, or may have been accepted.
  */
 import {sleep, type Clock, type EventLog, type Random} from '@oathead/core';
 import {encodeJson, type RowStore, type RowTransaction} from '@oathead/stores';
 import type {JobSubmission} from './job.js';
 import {
-  cutContent,
+  splitContent,
   type StoreLimits,
   type StoredObject,
 } from './job_content.js';
 import {headRef, type JobHead, type VersionedHead} from './job_rows.js';
 
-/** What came of handing in a job. */
+/** Outcome of submitting a job. */
 export type IntakeResult =
-  /** It is kept from now on; `head` where this call has written it. */
+  /** The job is stored; `written` is set if this call wrote its head. */
   | {readonly kind: 'accepted'; readonly written?: VersionedHead}
   /** Nothing was written and nothing will be. */
   | {readonly kind: 'refused'; readonly reason: string}
-  /** It may have been accepted. */
+  /** The job may have been accepted. */
   | {readonly kind: 'unknown'; readonly reason: string};
 
-/** What a {@link JobIntake} needs. */
+/** Dependencies of a {@link JobIntake}. */
 export interface IntakeContext {
   readonly store: RowStore;
   readonly limits: StoreLimits;
   readonly clock: Clock;
   readonly random: Random;
   readonly log: EventLog;
-  /** The run of the process that works on what is accepted now. */
+  /** Returns the member id of the host that owns jobs accepted now. */
   readonly owner: () => string;
-  /** Milliseconds since the store last answered anything. */
+  /** Time since the store's last response of any kind, in milliseconds. */
   readonly sinceAnswerMs: () => number;
 }
 
 /**
- * A store that has answered nothing for so long is away, in milliseconds: its
- * tables are asked for all the time, and each such call ends within 1.2 s. A
- * caller that is refused at once can still hand its job in elsewhere in time,
- * where one that waits for the write to time out can not.
+ * Time without any response after which the store counts as unreachable, in
+ * milliseconds. Its tables are polled constantly, and each such call ends
+ * within 1.2 s. A caller that is refused at once still has time to submit its
+ * job to another host; one that waits for the write to time out does not.
  */
-const STORE_AWAY_MS = 1600;
-/** How often a write without an answer is sent: a second of patience. */
-const MAX_TRIES = 4;
-/** Between two tries, in milliseconds. */
-const RETRY_MS = 100;
+const STORE_UNREACHABLE_MS = 1600;
+/**
+ * Maximum number of attempts of a write without a response. With the backoff,
+ * they take about a second.
+ */
+const MAX_ATTEMPTS = 4;
+/**
+ * Linear backoff between attempts, in milliseconds: multiplied by the number of
+ * attempts made.
+ */
+const RETRY_BACKOFF_MS = 100;
 
-/** Takes jobs in. */
+/** Accepts submitted jobs. */
 export class JobIntake {
-  /** @param context - The store, and who works on what is accepted. */
+  /** @param context - Store, limits and the owner of new jobs. */
   constructor(private readonly context: IntakeContext) {}
 
   /**
-   * @param submission - What is handed in.
-   * @returns What came of it.
+   * Writes a job to the store.
+   *
+   * @param submission - The submitted job.
+   * @returns Whether the job was accepted.
    */
   async accept(submission: JobSubmission): Promise<IntakeResult> {
     const {store, limits, log} = this.context;
     const acceptedAtMs = store.storeTimeMs();
     const silentMs = this.context.sinceAnswerMs();
-    if (acceptedAtMs === undefined || silentMs > STORE_AWAY_MS) {
+    if (acceptedAtMs === undefined || silentMs > STORE_UNREACHABLE_MS) {
       log.event('job-refused', {job: submission.id, silentMs});
-      return {kind: 'refused', reason: 'the store does not answer'};
+      return {kind: 'refused', reason: 'the store is unreachable'};
     }
-    const {content, puts, objects} = cutContent(
+    const {content, puts, objects} = splitContent(
       submission.id,
       submission.items,
       limits,
     );
-    const stored = await this.putObjects(objects);
-    if (stored) return stored;
+    const objectFailure = await this.putObjects(objects);
+    if (objectFailure) return objectFailure;
     const head = this.newHead(submission, content, acceptedAtMs);
     const ref = headRef(submission.id);
     const result = await this.write(head, {
@@ -110,40 +119,45 @@
     };
   }
 
-  /** @returns Undefined when all objects are in the store. */
+  /**
+   * @returns The refusal if an object could not be stored; undefined if all are
+   *   stored.
+   */
   private async putObjects(
     objects: readonly StoredObject[],
   ): Promise<IntakeResult | undefined> {
     for (const {name, bytes} of objects) {
       const put = await this.context.store.putObject(name, bytes);
-      // Without its head an object is no job: nothing was accepted.
-      if (!put.ok) return {kind: 'refused', reason: `object: ${put.err.kind}`};
+      // Objects without a head do not make a job: nothing was accepted.
+      if (!put.ok)
+        return {kind: 'refused', reason: `object not stored: ${put.err.kind}`};
     }
     return undefined;
   }
 
   /**
-   * Guards against lost answers: the write is sent again as it was. It can take
-   * effect once only, since it expects that there is no head; a head that is
-   * there is this job's, whoever has written it.
+   * Writes the head and the content rows. Guards against lost responses: the
+   * same write is sent again. It takes effect at most once, since it expects
+   * that there is no head. A head that exists already belongs to the same job,
+   * whichever attempt wrote it.
    */
   private async write(
     head: JobHead,
     transaction: RowTransaction,
   ): Promise<IntakeResult> {
-    let mayBeDone = false;
+    let mayBeApplied = false;
     let reason = '';
-    for (let i = 0; i < MAX_TRIES; i++) {
-      if (i > 0) await sleep(this.context.clock, RETRY_MS * i);
+    for (let i = 0; i < MAX_ATTEMPTS; i++) {
+      if (i > 0) await sleep(this.context.clock, RETRY_BACKOFF_MS * i);
       const done = await this.context.store.transact(transaction);
       if (done.ok) {
         const {version} = done.value;
         return {kind: 'accepted', written: {head, version}};
       }
       if (done.err.kind === 'conflict') return {kind: 'accepted'};
-      if (done.err.kind === 'unknown') mayBeDone = true;
+      if (done.err.kind === 'unknown') mayBeApplied = true;
       reason = done.err.kind;
     }
-    return {kind: mayBeDone ? 'unknown' : 'refused', reason};
+    return {kind: mayBeApplied ? 'unknown' : 'refused', reason};
   }
 }
--- a/packages/jobs/src/lib/request/job_reader.ts
+++ b/packages/jobs/src/lib/request/job_reader.ts
@@ -1,4 +1,4 @@
-/** Reads jobs from the store: any host can, whoever works on them. */
+/** Reads jobs from the store, on any host, whichever host owns them. */
 import {failure, success, type Outcome} from '@oathead/core';
 import {
   decodeJson,
@@ -20,11 +20,11 @@
   type VersionedHead,
 } from './job_rows.js';
 
-/** Why a job could not be read. */
+/** Error of reading a job. */
 export type JobReadError =
-  /** The store says that there is no such job, or no such item. */
+  /** The store has no such job, or the job has no such item. */
   | {readonly kind: 'not-found'}
-  /** Nobody can say now. */
+  /** The store did not respond, or its data could not be decoded. */
   | {readonly kind: 'unsure'; readonly reason: string};
 
 const RESULT = z.discriminatedUnion('kind', [
@@ -34,54 +34,63 @@
     state: z.enum(['succeeded', 'failed']),
     text: z.string(),
   }),
-  /** A text that is too large for a row. */
+  /** Reference to an object, for a text that is too large for a row. */
   z.object({kind: z.literal('object'), name: z.string()}),
 ]);
 
-/** A result as its row holds it. */
+/** A result as stored in its row. */
 export type StoredResult = Readonly<z.infer<typeof RESULT>>;
 
-/** Results to a page at the most. */
-const PAGE_RESULTS = 50;
-/** Bytes of text to a page at the most: under the interface's 1 MB. */
-const PAGE_BYTES = 700_000;
-/** Bytes of items that are kept for those who ask for bodies. */
-const KEPT_CONTENT_BYTES = 16 * 1024 * 1024;
-/** Jobs whose size is kept. */
-const KEPT_TOTALS = 4096;
-
-/** Reads heads, results and bodies. */
+/** Maximum number of results per page. */
+const MAX_PAGE_RESULTS = 50;
+/**
+ * Maximum size of the texts of a page, in bytes: below the limit of 1 MB of the
+ * batch interface.
+ */
+const MAX_PAGE_BYTES = 700_000;
+/** Size of the cache of submitted items, in bytes of their bodies. */
+const CONTENT_CACHE_BYTES = 16 * 1024 * 1024;
+/** Maximum number of jobs whose item count is cached. */
+const MAX_CACHED_TOTALS = 4096;
+
+/** Reads heads, results and item bodies. */
 export class JobReader {
-  private readonly contents = new LRUCache<string, readonly JobItem[]>({
-    maxSize: KEPT_CONTENT_BYTES,
+  private readonly contentCache = new LRUCache<string, readonly JobItem[]>({
+    maxSize: CONTENT_CACHE_BYTES,
     sizeCalculation: sizeOfItems,
   });
-  private readonly totals = new LRUCache<string, number>({max: KEPT_TOTALS});
+  private readonly totalCache = new LRUCache<string, number>({
+    max: MAX_CACHED_TOTALS,
+  });
 
-  /** @param store - Where the jobs lie. */
+  /** @param store - Store that holds the jobs. */
   constructor(private readonly store: RowStore) {}
 
   /**
-   * @param jobId - The job.
-   * @returns Its head as it is in the store now.
+   * Reads the head of a job.
+   *
+   * @param jobId - Id of the job.
+   * @returns The current head and its version.
    */
   async head(jobId: string): Promise<Outcome<VersionedHead, JobReadError>> {
     const {table, partition, key} = headRef(jobId);
     const query = {table, partition, from: key, limit: 1};
     const page = await this.store.read(query);
-    if (!page.ok) return failure(unsure(page.err));
+    if (!page.ok) return failure(toReadError(page.err));
     const row = page.value.rows[0];
     if (row?.key !== key) return failure({kind: 'not-found'});
     const head = decodeJson(row.value, JOB_HEAD);
-    if (!head.ok) return failure(unsure(head.err));
-    this.totals.set(jobId, head.value.items);
+    if (!head.ok) return failure(toReadError(head.err));
+    this.totalCache.set(jobId, head.value.items);
     return success({head: head.value, version: row.version});
   }
 
   /**
-   * @param jobId - The job.
-   * @param from - The first position wanted.
-   * @returns The results from there on.
+   * Reads one page of results.
+   *
+   * @param jobId - Id of the job.
+   * @param from - Position of the first result.
+   * @returns The results from that position on.
    */
   async results(
     jobId: string,
@@ -90,17 +99,19 @@
     const total = await this.total(jobId);
     if (!total.ok) return total;
     const range = jobRowRange(RESULT_TABLE, jobId, from);
-    const page = await this.store.read({...range, limit: PAGE_RESULTS});
-    if (!page.ok) return failure(unsure(page.err));
-    const results = await this.consecutive(page.value.rows, from);
+    const page = await this.store.read({...range, limit: MAX_PAGE_RESULTS});
+    if (!page.ok) return failure(toReadError(page.err));
+    const results = await this.consecutiveResults(page.value.rows, from);
     if (!results.ok) return results;
     const next = from + results.value.length;
     return success({total: total.value, next, results: results.value});
   }
 
   /**
-   * @param jobId - The job.
-   * @returns All its results that are listed.
+   * Reads all pages of results.
+   *
+   * @param jobId - Id of the job.
+   * @returns All results written so far.
    */
   async allResults(
     jobId: string,
@@ -115,9 +126,11 @@
   }
 
   /**
-   * @param jobId - The job.
-   * @param itemId - One of its items.
-   * @returns The item's body as it was handed in.
+   * Reads the request body of an item.
+   *
+   * @param jobId - Id of the job.
+   * @param itemId - Id of the item.
+   * @returns The item's body as submitted.
    */
   async body(
     jobId: string,
@@ -130,42 +143,47 @@
   }
 
   /**
-   * @param jobId - The job.
-   * @returns Its items as they were handed in.
+   * Reads the items of a job, from the cache if possible.
+   *
+   * @param jobId - Id of the job.
+   * @returns The items as submitted.
    */
   async items(
     jobId: string,
   ): Promise<Outcome<readonly JobItem[], JobReadError>> {
-    const kept = this.contents.get(jobId);
-    if (kept) return success(kept);
+    const cached = this.contentCache.get(jobId);
+    if (cached) return success(cached);
     const head = await this.head(jobId);
     if (!head.ok) return head;
     const items = await loadContent(this.store, head.value.head);
-    if (!items.ok) return failure(unsure(items.err));
-    this.contents.set(jobId, items.value);
+    if (!items.ok) return failure(toReadError(items.err));
+    this.contentCache.set(jobId, items.value);
     return items;
   }
 
   /**
-   * Keeps what was just handed in, so that its owner need not read it again.
+   * Caches the items of a job that was just submitted, so that its owner need
+   * not read them from the store.
    *
-   * @param jobId - The job.
-   * @param items - Its items.
+   * @param jobId - Id of the job.
+   * @param items - Items of the job.
    */
-  remember(jobId: string, items: readonly JobItem[]): void {
-    this.contents.set(jobId, items);
-    this.totals.set(jobId, items.length);
+  cacheItems(jobId: string, items: readonly JobItem[]): void {
+    this.contentCache.set(jobId, items);
+    this.totalCache.set(jobId, items.length);
   }
 
-  /** The size of a job never changes, so it is asked for once. */
+  /**
+   * @returns The number of items of a job. It never changes, so it is cached.
+   */
   private async total(jobId: string): Promise<Outcome<number, JobReadError>> {
-    const known = this.totals.get(jobId);
-    if (known !== undefined) return success(known);
+    const cached = this.totalCache.get(jobId);
+    if (cached !== undefined) return success(cached);
     const head = await this.head(jobId);
     return head.ok ? success(head.value.head.items) : head;
   }
 
-  private async consecutive(
+  private async consecutiveResults(
     rows: readonly VersionedRow[],
     from: number,
   ): Promise<Outcome<readonly ItemResult[], JobReadError>> {
@@ -176,7 +194,7 @@
       const result = await this.resultOf(row);
       if (!result.ok) return result;
       bytes += result.value.text.length;
-      if (results.length > 0 && bytes > PAGE_BYTES) break;
+      if (results.length > 0 && bytes > MAX_PAGE_BYTES) break;
       results.push(result.value);
     }
     return success(results);
@@ -186,18 +204,21 @@
     row: VersionedRow,
   ): Promise<Outcome<ItemResult, JobReadError>> {
     const stored = decodeJson(row.value, RESULT);
-    if (!stored.ok) return failure(unsure(stored.err));
+    if (!stored.ok) return failure(toReadError(stored.err));
     if (stored.value.kind === 'here') return success(stored.value);
     const object = await this.store.getObject(stored.value.name);
-    if (!object.ok) return failure(unsure(object.err));
-    const inside = decodeJson(object.value, RESULT);
-    if (!inside.ok) return failure(unsure(inside.err));
-    if (inside.value.kind === 'here') return success(inside.value);
-    return failure({kind: 'unsure', reason: 'a result that holds no text'});
+    if (!object.ok) return failure(toReadError(object.err));
+    const objectResult = decodeJson(object.value, RESULT);
+    if (!objectResult.ok) return failure(toReadError(objectResult.err));
+    if (objectResult.value.kind === 'here') return success(objectResult.value);
+    return failure({
+      kind: 'unsure',
+      reason: 'the result object contains no text',
+    });
   }
 }
 
-function unsure(err: RowStoreError | UnreadableRow): JobReadError {
+function toReadError(err: RowStoreError | UnreadableRow): JobReadError {
   return {kind: 'unsure', reason: err.kind};
 }
 
--- a/packages/jobs/src/lib/request/job_rows.ts
+++ b/packages/jobs/src/lib/request/job_rows.ts
@@ -1,64 +1,72 @@
 /**
- * Where a job lies in the store. All its rows are in one partition, so that a
- * result and the head that fences it are written together. Partitions are few
- * and fixed: the heads of all jobs can be read whole, and each partition takes
- * only so many transactions a second.
+ * Layout of jobs in the store. All rows of a job are in one partition, so that
+ * a result and the head that fences it are written in one transaction. The
+ * number of partitions is small, so that the heads of all jobs can be read, and
+ * fixed; there are several because the store limits the transactions per second
+ * of each partition.
  */
 import {hash32} from '@oathead/core';
 import type {RowRef} from '@oathead/stores';
 import {z} from 'zod';
 
-/** Heads: the state of each job, in one small row. */
+/** Heads: one small row per job, which holds its state. */
 export const HEAD_TABLE = 'job_heads';
-/** What was handed in, in pieces. */
+/** Submitted items, in pieces. */
 export const CONTENT_TABLE = 'job_content';
 /** Results by position. */
 export const RESULT_TABLE = 'job_results';
-/** Text of items whose owner has stopped. */
+/** Partial texts of items, by item. */
 export const PARTIAL_TABLE = 'job_partials';
 
-const PARTITIONS = 16;
+const PARTITION_COUNT = 16;
 const PARTITION_DIGITS = 2;
-const POSITION_DIGITS = 6;
+const INDEX_DIGITS = 6;
 
-/** All partitions of the tables of jobs. */
+/** The partitions of the job tables. */
 export const JOB_PARTITIONS: readonly string[] = [
-  ...Array(PARTITIONS).keys(),
+  ...Array(PARTITION_COUNT).keys(),
 ].map(i => `p${String(i).padStart(PARTITION_DIGITS, '0')}`);
 
 const COUNT = z.number().int().nonnegative();
 
-/** The schema of a head. */
+/** Schema of a job head. */
 export const JOB_HEAD = z.object({
   id: z.string(),
   hostName: z.string(),
-  /** The client account under which its items run; none: there were no accounts. */
+  /**
+   * Client account under which the items run; absent if there were no accounts.
+   */
   account: z.string().optional(),
   items: COUNT,
-  /** On the store's steady clock, in milliseconds. */
+  /** On the store's monotonic clock, in milliseconds. */
   acceptedAtMs: z.number(),
   completionGoalMs: z.number(),
   retentionMs: z.number(),
   maxAttempts: COUNT,
-  /** The run of a process that works on it; empty: nobody does. */
+  /**
+   * Member id of the host incarnation that owns the job; empty if none does.
+   */
   owner: z.string(),
-  /** `open`: items are left; `done`: all are listed; `ended`: by its caller. */
+  /**
+   * `open`: items are left; `done`: all results are written; `ended`: cancelled
+   * by its caller.
+   */
   state: z.enum(['open', 'done', 'ended']),
-  /** How many results are listed. */
+  /** Number of results written. */
   listed: COUNT,
-  /** Failed runs by item, where there were any. */
+  /** Number of failed runs by item index; absent for items without failures. */
   failures: z.record(z.string(), COUNT),
-  /** Tells a write of the head from all others. */
+  /** Random value that identifies one write of the head. */
   nonce: z.string(),
-  /** When it was done or ended, on the store's clock. */
+  /** Time at which the job was done or cancelled, on the store's clock. */
   closedAtMs: z.number().optional(),
   content: z.object({kind: z.enum(['rows', 'objects']), pieces: COUNT}),
 });
 
-/** The state of a job. */
+/** State of a job. */
 export type JobHead = Readonly<z.infer<typeof JOB_HEAD>>;
 
-/** A head with the version that fences writes on top of it. */
+/** A head and its version, which later writes of the head expect. */
 export interface VersionedHead {
   readonly head: JobHead;
   readonly version: number;
@@ -66,34 +74,34 @@
 
 /** @returns The partition of a job. */
 export function partitionOf(jobId: string): string {
-  return JOB_PARTITIONS[hash32(jobId) % PARTITIONS]!;
+  return JOB_PARTITIONS[hash32(jobId) % PARTITION_COUNT]!;
 }
 
-/** @returns The row of a job's head. */
+/** @returns The key of the row that holds the head of a job. */
 export function headRef(jobId: string): RowRef {
   return {table: HEAD_TABLE, partition: partitionOf(jobId), key: jobId};
 }
 
 /**
- * @param table - One of the tables with several rows for a job.
- * @param jobId - The job.
- * @param index - The piece, position or item.
- * @returns The row.
+ * @param table - A table with several rows per job.
+ * @param jobId - Id of the job.
+ * @param index - Index of the piece, result or item.
+ * @returns The key of the row.
  */
 export function jobRowRef(table: string, jobId: string, index: number): RowRef {
-  const digits = String(index).padStart(POSITION_DIGITS, '0');
+  const digits = String(index).padStart(INDEX_DIGITS, '0');
   return {table, partition: partitionOf(jobId), key: `${jobId}/${digits}`};
 }
 
 /**
- * @param table - One of the tables with several rows for a job.
- * @param jobId - The job.
- * @param from - The first index wanted.
- * @returns The range of the job's rows from there on.
+ * @param table - A table with several rows per job.
+ * @param jobId - Id of the job.
+ * @param from - First index.
+ * @returns The range of the job's rows from that index on.
  */
 export function jobRowRange(table: string, jobId: string, from = 0) {
   const {partition, key} = jobRowRef(table, jobId, from);
-  // The character behind the slash: no key of this job comes after it.
+  // `0` follows `/` in ASCII, so this key sorts after all keys of the job.
   return {table, partition, from: key, to: `${jobId}0`};
 }
 
--- a/packages/jobs/src/test/process/batch_scheduler_test.ts
+++ b/packages/jobs/src/test/process/batch_scheduler_test.ts
@@ -18,8 +18,11 @@
 const GOAL_MS = 10_000;
 const RUN_MS = 300;
 
-/** A job with one item that is due in so many milliseconds and ran for some. */
-function jobDueIn(id: string, leftMs: number, ranMs = 0): OwnedJob {
+/**
+ * Creates a job with one item, which is due in `untilDueMs` and has run for
+ * `runTimeMs`.
+ */
+function jobDueIn(id: string, untilDueMs: number, runTimeMs = 0): OwnedJob {
   const item = {
     id,
     path: `/${id}`,
@@ -34,17 +37,20 @@
     acceptedAtMs: 0,
     retentionMs: Infinity,
   };
-  const work = [{...newItemWork(0, item, 0, undefined), ranMs}];
+  const work = [{...newItemWork(0, item, 0, undefined), runTimeMs}];
   return {
     head,
-    dueAtMs: leftMs,
+    dueAtMs: untilDueMs,
     work,
     checkpoint: () => {},
   } as unknown as OwnedJob;
 }
 
-/** Counts how often a place is looked for, where there is never one. */
-async function looks(jobs: readonly OwnedJob[], asksOthers: boolean) {
+/** Counts placement attempts while no target has a free slot. */
+async function countPlacementAttempts(
+  jobs: readonly OwnedJob[],
+  asksOthers: boolean,
+) {
   const counts: Record<BatchPressure, number> = {relaxed: 0, pressed: 0};
   const placement = {
     asksOthers,
@@ -71,24 +77,29 @@
   return counts;
 }
 
-// An item that is due soon is late although targets have room for it: one that is done
-// sooner and has time found none below the share for such, and both were left alone.
-test('an item that has time holds back none that is due soon', async t => {
+// An urgent item became late although targets had slots for it: a relaxed item
+// with less remaining time found no slot outside the share reserved for urgent
+// items, and the scheduler then skipped the route for both.
+test('a relaxed item does not hold back an urgent one', async t => {
   const relaxed = jobDueIn('relaxed', GOAL_MS, GOAL_MS / 8);
   const pressed = jobDueIn('pressed', GOAL_MS * 0.4);
   for (const asksOthers of [false, true]) {
-    const counts = await looks([relaxed, pressed], asksOthers);
+    const counts = await countPlacementAttempts([relaxed, pressed], asksOthers);
     t.true(counts.pressed > 0, JSON.stringify(counts));
   }
 });
 
-// An item waits for a place that was free for a moment: without a coordinator a look
-// costs no message, and places are looked for at each tick.
-test('only what asks another host leaves a route alone for a while', async t => {
-  const alone = await looks([jobDueIn('one', GOAL_MS)], false);
-  const asking = await looks([jobDueIn('one', GOAL_MS)], true);
+// Items missed slots that were free only for a moment. Without a coordinator,
+// looking for a slot sends no message, so the scheduler looks in every
+// interval.
+test('a full route is skipped longer if placement asks another host', async t => {
+  const local = await countPlacementAttempts([jobDueIn('one', GOAL_MS)], false);
+  const coordinated = await countPlacementAttempts(
+    [jobDueIn('one', GOAL_MS)],
+    true,
+  );
   t.true(
-    alone.relaxed > asking.relaxed * 1.5,
-    `${alone.relaxed} ${asking.relaxed}`,
+    local.relaxed > coordinated.relaxed * 1.5,
+    `${local.relaxed} ${coordinated.relaxed}`,
   );
 });
--- a/packages/jobs/src/test/process/head_writer_test.ts
+++ b/packages/jobs/src/test/process/head_writer_test.ts
@@ -25,24 +25,25 @@
   content: {kind: 'rows', pieces: 1},
 };
 
-/** A store that does what it is told and loses the answers of some writes. */
+/** A store that carries out every write and drops the responses to some. */
 class LossyStore extends MemoryRowStore {
-  lose = 0;
+  answersToLose = 0;
 
   override async transact(transaction: RowTransaction) {
     const done = await super.transact(transaction);
-    if (this.lose-- <= 0) return done;
+    if (this.answersToLose-- <= 0) return done;
     return failure({kind: 'unknown', message: 'lost'} as const);
   }
 }
 
-async function acceptedIn(store: RowStore): Promise<number> {
+async function insertHead(store: RowStore): Promise<number> {
   const row = {...headRef('j'), value: encodeJson(HEAD)};
   const done = await store.transact({expect: [], puts: [row], removes: []});
   return done.ok ? done.value.version : 0;
 }
 
-// The clock's timers don't keep a process up; this one does, while tests wait.
+// Timers of the clock do not keep the process alive; this one does during
+// tests.
 const keepAlive = setInterval(() => {}, 1000);
 test.after.always(() => clearInterval(keepAlive));
 
@@ -52,25 +53,24 @@
   return new HeadWriter(context, {head: HEAD, version}, signal);
 }
 
-// A result stands twice in the list: the store wrote it, the answer was lost,
-// and the owner wrote it again at the next position. The owner must see that
-// its first write took effect.
-test('a write whose answer is lost takes effect once', async t => {
+// A result appeared twice in the list: the store wrote it, the response was
+// lost, and the owner wrote it again at the next position. The owner must
+// detect that its first write took effect.
+test('a write whose response is lost takes effect once', async t => {
   const store = new LossyStore(SYSTEM_CLOCK);
-  const writer = writerOf(store, await acceptedIn(store));
-  store.lose = 1;
+  const writer = writerOf(store, await insertHead(store));
+  store.answersToLose = 1;
   t.true((await writer.write({listed: 1}, [])).ok);
   t.is(writer.head.listed, 1);
   t.true((await writer.write({listed: 2}, [])).ok);
   t.is(writer.head.listed, 2);
 });
 
-// Two hosts list results for one job: its owner was frozen, another host took
-// the job over, and the first one woke up and went on. What it writes then must
-// be refused.
-test('an owner whose job was taken over writes nothing more', async t => {
+// Two hosts wrote results for one job: its owner was paused, another host took
+// the job over, and the first one resumed. Its later writes must be rejected.
+test('an owner whose job was taken over can no longer write', async t => {
   const store = new MemoryRowStore(SYSTEM_CLOCK);
-  const version = await acceptedIn(store);
+  const version = await insertHead(store);
   const frozen = writerOf(store, version);
   const other = writerOf(store, version, 2);
   t.true((await other.write({owner: 'other'}, [])).ok);
--- a/packages/jobs/src/test/process/job_janitor_test.ts
+++ b/packages/jobs/src/test/process/job_garbage_collector_test.ts
@@ -2,7 +2,7 @@
 import {Membership, memberId} from '@oathead/gateway';
 import {encodeJson, MemoryRowStore, type TableUpdate} from '@oathead/stores';
 import test from 'ava';
-import {JobJanitor} from '../../lib/process/job_janitor.js';
+import {JobGarbageCollector} from '../../lib/process/job_garbage_collector.js';
 import {
   CONTENT_TABLE,
   HEAD_TABLE,
@@ -14,9 +14,13 @@
   type JobHead,
 } from '../../lib/request/job_rows.js';
 
-const KEEP_MS = 1000;
+const RETENTION_MS = 1000;
 
-async function closedJob(store: MemoryRowStore, id: string, ageMs: number) {
+async function insertClosedJob(
+  store: MemoryRowStore,
+  id: string,
+  ageMs: number,
+) {
   const head: JobHead = {
     id,
     hostName: 'h',
@@ -43,7 +47,7 @@
   await store.transact({expect: [], puts, removes: []});
 }
 
-async function rowsOf(store: MemoryRowStore, id: string): Promise<number> {
+async function countRows(store: MemoryRowStore, id: string): Promise<number> {
   const head = await store.read({
     table: HEAD_TABLE,
     partition: partitionOf(id),
@@ -58,10 +62,10 @@
   );
 }
 
-test('a job is removed whole once it is long closed, and not before', async t => {
+test('a job is removed completely after its retention period only', async t => {
   const store = new MemoryRowStore(SYSTEM_CLOCK);
-  await closedJob(store, 'old', KEEP_MS + 500);
-  await closedJob(store, 'new', 0);
+  await insertClosedJob(store, 'old', RETENTION_MS + 500);
+  await insertClosedJob(store, 'new', 0);
   const self = {
     id: memberId('me', '1'),
     host: 'me',
@@ -72,18 +76,18 @@
   };
   const context = {store, clock: SYSTEM_CLOCK, log: NO_EVENT_LOG};
   const membership = new Membership(self, context);
-  const janitor = new JobJanitor({
+  const collector = new JobGarbageCollector({
     ...context,
     membership,
-    keepMs: () => KEEP_MS,
+    closedJobRetentionMs: () => RETENTION_MS,
   });
   const changes = await store.changes(HEAD_TABLE, 0, 0);
   const put = changes.ok
     ? changes.value.changes.flatMap(c => (c.kind === 'put' ? [c.row] : []))
     : [];
   const update: TableUpdate = {put, removed: [], storeTimeMs: 0};
-  janitor.update(update);
-  await janitor.sweep();
-  t.is(await rowsOf(store, 'old'), 0);
-  t.is(await rowsOf(store, 'new'), 122);
+  collector.update(update);
+  await collector.sweep();
+  t.is(await countRows(store, 'old'), 0);
+  t.is(await countRows(store, 'new'), 122);
 });
--- a/packages/jobs/src/test/process/job_keeper_test.ts
+++ b/packages/jobs/src/test/process/job_ownership_test.ts
@@ -9,7 +9,7 @@
 import type {Membership} from '@oathead/gateway';
 import {encodeJson, MemoryRowStore} from '@oathead/stores';
 import test from 'ava';
-import {JobKeeper} from '../../lib/process/job_keeper.js';
+import {JobOwnership} from '../../lib/process/job_ownership.js';
 import type {JobReader} from '../../lib/request/job_reader.js';
 import {headRef, type JobHead} from '../../lib/request/job_rows.js';
 
@@ -35,10 +35,10 @@
   return {put: [row], removed: [], storeTimeMs: 1};
 }
 
-// An item of a job that its caller has ended runs at a server seconds later: the
-// owner was reading the job's items when it saw the end, and took the job up with
-// the head from before.
-test('a job that ends while its items are read is not taken up', async t => {
+// An item of a cancelled job ran on a target seconds after the cancellation:
+// the owner received the change while it read the job's items, and then adopted
+// the job with the older head.
+test('a job cancelled while its items are read is not adopted', async t => {
   const reader = {
     items: async () => {
       await setTimeout(LOAD_MS);
@@ -47,7 +47,7 @@
     allResults: async () => success([]),
   } as unknown as JobReader;
   const membership = {self: {id: 'me'}, peers: () => []} as unknown;
-  const keeper = new JobKeeper({
+  const jobOwnership = new JobOwnership({
     store: new MemoryRowStore(SYSTEM_CLOCK),
     clock: SYSTEM_CLOCK,
     random: seededRandom(1),
@@ -57,9 +57,9 @@
     reader,
     membership: membership as Membership,
   });
-  t.teardown(() => keeper[Symbol.dispose]());
-  keeper.update(updateOf(OPEN, 1));
-  keeper.update(updateOf({...OPEN, state: 'ended', nonce: 'end'}, 2));
+  t.teardown(() => jobOwnership[Symbol.dispose]());
+  jobOwnership.update(updateOf(OPEN, 1));
+  jobOwnership.update(updateOf({...OPEN, state: 'ended', nonce: 'end'}, 2));
   await setTimeout(2 * LOAD_MS);
-  t.deepEqual([...keeper.jobs()], []);
+  t.deepEqual([...jobOwnership.jobs()], []);
 });
--- a/packages/jobs/src/test/process/ownership_model_test.ts
+++ b/packages/jobs/src/test/process/ownership_model_test.ts
@@ -1,8 +1,9 @@
 /**
- * Three hosts that take a job over from each other, list its items and end it,
- * in any order, on a store that loses answers, carries writes out late and
- * refuses them. The real writer of heads and results runs against a model that
- * remembers each result that was ever readable.
+ * Model-based test of job ownership. Three hosts take a job over from each
+ * other, write results and cancel it, in any order, on a store that loses
+ * responses, delays writes and refuses them. It runs the real {@link
+ * HeadWriter} against a model that remembers each result that was ever
+ * readable.
  */
 import {failure, seededRandom, type Clock} from '@oathead/core';
 import {
@@ -29,31 +30,31 @@
 const HOSTS = 3;
 const RUNS = 3000;
 
-/** What the store does with a write. */
-type Fate = 'done' | 'answer-lost' | 'late' | 'refused';
+/** How the store treats a write. */
+type WriteOutcome = 'done' | 'answer-lost' | 'late' | 'refused';
 
-/** What a host does next. */
+/** The next action of a host. */
 interface Step {
   readonly host: number;
   readonly action: 'claim' | 'list' | 'end';
-  /** Of the writes of this step, in order; later ones are done. */
-  readonly fates: readonly Fate[];
+  /** Outcomes of the writes of this step, in order; further writes are done. */
+  readonly outcomes: readonly WriteOutcome[];
 }
 
 const STEPS: fc.Arbitrary<readonly Step[]> = fc.array(
   fc.record({
     host: fc.nat(HOSTS - 1),
     action: fc.constantFrom('claim', 'list', 'list', 'list', 'end'),
-    fates: fc.array(
-      fc.constantFrom<Fate>('done', 'answer-lost', 'late', 'refused'),
+    outcomes: fc.array(
+      fc.constantFrom<WriteOutcome>('done', 'answer-lost', 'late', 'refused'),
       {maxLength: 4},
     ),
   }),
   {maxLength: 24},
 );
 
-/** Timers are over at once: the model's time is the order of its steps. */
-const NO_WAIT: Clock = {
+/** Runs timers at once: the order of the steps defines the model's time. */
+const IMMEDIATE_CLOCK: Clock = {
   now: () => 0,
   wallTime: () => 0,
   after: (ms, task) => {
@@ -62,39 +63,39 @@
   },
 };
 
-/** Keeps rows, and treats writes as it is told. */
+/** A store in memory that treats writes according to `outcomes`. */
 class UnreliableStore extends MemoryRowStore {
-  fates: Fate[] = [];
-  private readonly late: RowTransaction[] = [];
+  outcomes: WriteOutcome[] = [];
+  private readonly delayed: RowTransaction[] = [];
 
   constructor() {
-    super(NO_WAIT);
+    super(IMMEDIATE_CLOCK);
   }
 
   override async transact(transaction: RowTransaction) {
-    const fate = this.fates.shift() ?? 'done';
-    if (fate === 'refused')
+    const outcome = this.outcomes.shift() ?? 'done';
+    if (outcome === 'refused')
       return failure({kind: 'refused', message: 'busy'} as const);
-    if (fate === 'late') {
-      this.late.push(transaction);
+    if (outcome === 'late') {
+      this.delayed.push(transaction);
       return failure({kind: 'unknown', message: 'late'} as const);
     }
     const done = await super.transact(transaction);
-    if (fate === 'done') return done;
+    if (outcome === 'done') return done;
     return failure({kind: 'unknown', message: 'lost'} as const);
   }
 
-  /** Carries out a write that got no answer, if its condition still holds. */
-  async catchUp(): Promise<void> {
-    const transaction = this.late.shift();
+  /** Applies a delayed write if its expectations still hold. */
+  async applyDelayedWrite(): Promise<void> {
+    const transaction = this.delayed.shift();
     if (transaction) await super.transact(transaction);
   }
 }
 
-/** A host that works on the job, or once did. */
+/** A host that owns the job, or once did. */
 class Owner {
   private writer: HeadWriter | undefined;
-  private left: number[] = [];
+  private unlisted: number[] = [];
 
   constructor(
     private readonly name: string,
@@ -109,11 +110,11 @@
     if (!(await writer.write({owner: this.name}, [])).ok) return;
     const listed = await resultsIn(this.store);
     this.writer = writer;
-    this.left = itemsBut(listed);
+    this.unlisted = unlistedItems(listed);
   }
 
   async list(): Promise<void> {
-    const [item] = this.left;
+    const [item] = this.unlisted;
     if (!this.writer || item === undefined) return;
     const {listed} = this.writer.head;
     const value = encodeJson(item);
@@ -121,7 +122,7 @@
     const written = await this.writer.write({listed: listed + 1}, [
       {...ref, value},
     ]);
-    if (written.ok) this.left.shift();
+    if (written.ok) this.unlisted.shift();
     else this.writer = undefined;
   }
 
@@ -133,7 +134,7 @@
 
   private newWriter(found: VersionedHead): HeadWriter {
     const {store, seed} = this;
-    const context = {store, clock: NO_WAIT, random: seededRandom(seed)};
+    const context = {store, clock: IMMEDIATE_CLOCK, random: seededRandom(seed)};
     return new HeadWriter(context, found, new AbortController().signal);
   }
 }
@@ -174,13 +175,13 @@
   return Number(Buffer.from(value).toString());
 }
 
-function itemsBut(rows: readonly VersionedRow[]): number[] {
+function unlistedItems(rows: readonly VersionedRow[]): number[] {
   const listed = new Set(rows.map(itemOf));
   return [...Array(ITEMS).keys()].filter(item => !listed.has(item));
 }
 
-/** Plays steps and checks after each that what was readable still is. */
-async function play(steps: readonly Step[]): Promise<void> {
+/** Runs the steps and checks after each that earlier results are unchanged. */
+async function runSteps(steps: readonly Step[]): Promise<void> {
   const store = new UnreliableStore();
   const row = {...headRef('j'), value: encodeJson(FIRST)};
   await store.transact({expect: [], puts: [row], removes: []});
@@ -188,27 +189,31 @@
     i => new Owner(`host ${i}`, store, i + 1),
   );
   let seen: readonly number[] = [];
-  for (const {host, action, fates} of steps) {
-    store.fates = [...fates];
+  for (const {host, action, outcomes} of steps) {
+    store.outcomes = [...outcomes];
     await owners[host]![action]();
-    store.fates = [];
-    await store.catchUp();
+    store.outcomes = [];
+    await store.applyDelayedWrite();
     const now = (await resultsIn(store)).map(itemOf);
-    if (new Set(now).size < now.length) throw new Error(`twice: ${now}`);
+    if (new Set(now).size < now.length)
+      throw new Error(`item listed twice: ${now}`);
     if (seen.some((item, i) => now[i] !== item))
-      throw new Error(`${seen} became ${now}`);
+      throw new Error(`results changed from ${seen} to ${now}`);
     const {head} = await headIn(store);
     if (head.listed !== now.length)
-      throw new Error(`${head.listed} listed of ${now.length}`);
+      throw new Error(
+        `head counts ${head.listed} results, store has ${now.length}`,
+      );
     seen = now;
   }
 }
 
-// Readers of a job see an item twice, or a position that changes: two hosts that
-// both take themselves for its owner list results, and the store's lost and late
-// answers make either try again. Whatever the order, each item has one position.
-test('each item has one position, whoever owns the job in which order', async t => {
-  const property = fc.asyncProperty(STEPS, play);
+// Readers of a job saw an item twice, or a position whose result changed: two
+// hosts that both considered themselves its owner wrote results, and either
+// repeated writes after lost or delayed responses. Whatever the order, each
+// item must have one position.
+test('each item has one position, in any order of owners and writes', async t => {
+  const property = fc.asyncProperty(STEPS, runSteps);
   await fc.assert(property, {numRuns: RUNS, seed: 7});
   t.pass();
 });
--- a/packages/serving/src/lib/connection/peer_router.ts
+++ b/packages/serving/src/lib/connection/peer_router.ts
@@ -1,4 +1,4 @@
-/** What serving processes ask each other, over tRPC. */
+/** RPC interface between serving processes, over tRPC. */
 import {failure} from '@oathead/core';
 import type {RowStoreRelay, VersionedRow} from '@oathead/stores';
 import {createTRPCClient, httpLink} from '@trpc/client';
@@ -7,40 +7,42 @@
 import {pack, unpack} from 'msgpackr';
 import {z} from 'zod';
 
-/** Rows of tables as a process knows them. */
+/** Rows by table, as a process has them. */
 export type Snapshot = Readonly<Record<string, readonly VersionedRow[]>>;
 
-/** What a process answers others with. */
-export interface PeerAnswers {
-  /** The own way to the store: a relay never relays. */
+/** What a process offers to its peers. */
+export interface PeerService {
+  /**
+   * Direct access to the store, so that a relayed call is never relayed again.
+   */
   readonly store: RowStoreRelay;
-  /** @returns The tables that it follows. */
+  /** @returns The shared tables that this process watches. */
   readonly snapshot: () => Snapshot;
 }
 
-const REF = {table: z.string(), partition: z.string(), key: z.string()};
+const ROW_REF = {table: z.string(), partition: z.string(), key: z.string()};
 const BYTES = z.instanceof(Uint8Array);
 const TRANSACTION = z.object({
-  expect: z.array(z.object({...REF, version: z.number()})),
-  puts: z.array(z.object({...REF, value: BYTES})),
-  removes: z.array(z.object(REF)),
+  expect: z.array(z.object({...ROW_REF, version: z.number()})),
+  puts: z.array(z.object({...ROW_REF, value: BYTES})),
+  removes: z.array(z.object(ROW_REF)),
 });
-const QUERY = z.object({
+const READ_QUERY = z.object({
   table: z.string(),
   partition: z.string(),
   from: z.string().optional(),
   to: z.string().optional(),
   limit: z.number().optional(),
 });
-const FEED = z.object({
+const CHANGES_QUERY = z.object({
   table: z.string(),
   after: z.number(),
   waitMs: z.number(),
 });
-const ROW = z.object({...REF, value: BYTES, version: z.number()});
+const ROW = z.object({...ROW_REF, value: BYTES, version: z.number()});
 const SNAPSHOT = z.record(z.string(), z.array(ROW));
 
-/** Values of rows are bytes, which JSON can't carry. */
+/** Transformer for row values, which are bytes that JSON cannot represent. */
 const MSGPACK = {
   serialize: (value: unknown) => Buffer.from(pack(value)).toString('base64'),
   deserialize: (text: string): unknown => unpack(Buffer.from(text, 'base64')),
@@ -48,18 +50,23 @@
 
 const t = initTRPC.create({transformer: MSGPACK});
 
-/** A call of a peer is given up after so long beyond what it waits, in ms: two
- * calls of the store that are slow, but no silent connection. */
-const PEER_TIMEOUT_MS = 900;
+/**
+ * Timeout of a call to a peer, in milliseconds, on top of the time for which
+ * the call waits. It leaves room for two slow calls to the store, and ends
+ * calls on a connection that no longer responds.
+ */
+const PEER_TIMEOUT_MARGIN_MS = 900;
 
-function routerOf({store, snapshot}: PeerAnswers) {
+function routerOf({store, snapshot}: PeerService) {
   return t.router({
     transact: t.procedure
       .input(TRANSACTION)
       .mutation(({input}) => store.transact(input)),
-    read: t.procedure.input(QUERY).mutation(({input}) => store.read(input)),
+    read: t.procedure
+      .input(READ_QUERY)
+      .mutation(({input}) => store.read(input)),
     changes: t.procedure
-      .input(FEED)
+      .input(CHANGES_QUERY)
       .mutation(({input: {table, after, waitMs}}) =>
         store.changes(table, after, waitMs),
       ),
@@ -67,23 +74,23 @@
   });
 }
 
-/** The contract between serving processes. */
+/** Type of the RPC interface between serving processes. */
 export type PeerRouter = ReturnType<typeof routerOf>;
 
 /**
- * Answers other processes.
+ * Serves calls of other processes.
  *
- * @param answers - What they are answered with.
- * @param ip - Where to listen.
- * @param port - Where to listen.
- * @returns Ends it when disposed.
+ * @param service - What this process offers to its peers.
+ * @param ip - IP address to listen on.
+ * @param port - TCP port to listen on.
+ * @returns Closes the server and its connections when disposed.
  */
 export function servePeers(
-  answers: PeerAnswers,
+  service: PeerService,
   ip: string,
   port: number,
 ): Disposable {
-  const server = createHTTPServer({router: routerOf(answers)});
+  const server = createHTTPServer({router: routerOf(service)});
   server.listen(port, ip);
   return {
     [Symbol.dispose]: () => {
@@ -93,11 +100,11 @@
   };
 }
 
-/** Another process, as this one asks it. */
-export class Peer implements RowStoreRelay {
+/** Client of another serving process. */
+export class PeerClient implements RowStoreRelay {
   private readonly client;
 
-  /** @param address - IP address and port of its answers. */
+  /** @param address - IP address and port of the peer's server. */
   constructor(readonly address: string) {
     this.client = createTRPCClient<PeerRouter>({
       links: [httpLink({url: `http://${address}`, transformer: MSGPACK})],
@@ -107,38 +114,46 @@
   /** {@inheritDoc RowStoreRelay.transact} */
   transact(transaction: Parameters<RowStoreRelay['transact']>[0]) {
     const input = TRANSACTION.parse(transaction);
-    return answered(this.client.transact.mutate(input, within(0)));
+    return toOutcome(this.client.transact.mutate(input, callOptions(0)));
   }
 
   /** {@inheritDoc RowStoreRelay.read} */
   read(query: Parameters<RowStoreRelay['read']>[0]) {
-    return answered(this.client.read.mutate(query, within(0)));
+    return toOutcome(this.client.read.mutate(query, callOptions(0)));
   }
 
   /** {@inheritDoc RowStoreRelay.changes} */
   changes(table: string, after: number, waitMs: number) {
     const input = {table, after, waitMs};
-    return answered(this.client.changes.mutate(input, within(waitMs)));
+    return toOutcome(this.client.changes.mutate(input, callOptions(waitMs)));
   }
 
-  /** @returns The tables that it follows; undefined: it gave no answer. */
+  /**
+   * @returns The shared tables of the peer; undefined if it did not respond.
+   */
   async snapshot(): Promise<Snapshot | undefined> {
     try {
-      const snapshot = await this.client.snapshot.mutate(undefined, within(0));
+      const snapshot = await this.client.snapshot.mutate(
+        undefined,
+        callOptions(0),
+      );
       return SNAPSHOT.parse(snapshot);
     } catch {
-      // Seeds may be stale or down; the caller counts who answered.
+      // Seeds may be stale or down. The caller counts the peers that responded.
       return undefined;
     }
   }
 }
 
-function within(waitMs: number) {
-  return {signal: AbortSignal.timeout(waitMs + PEER_TIMEOUT_MS)};
+function callOptions(waitMs: number) {
+  return {signal: AbortSignal.timeout(waitMs + PEER_TIMEOUT_MARGIN_MS)};
 }
 
-/** A peer that gives no answer may have passed the call on. */
-async function answered<T>(call: Promise<T>) {
+/**
+ * Converts a failed call to the error `unknown`: a peer that did not respond
+ * may have carried the call out.
+ */
+async function toOutcome<T>(call: Promise<T>) {
   try {
     return await call;
   } catch (err) {
--- a/packages/serving/src/lib/process/serving_parts.ts
+++ b/packages/serving/src/lib/process/serving_components.ts
@@ -1,4 +1,4 @@
-/** The parts of a serving process, put together over one store. */
+/** Creates the components of a serving process on top of one store. */
 import {
   FreshnessLease,
   readClocks,
@@ -34,26 +34,26 @@
 } from '@oathead/gateway';
 import {
   BatchScheduler,
-  endJob,
+  cancelJob,
   JobIntake,
-  JobJanitor,
-  JobKeeper,
+  JobGarbageCollector,
+  JobOwnership,
   JobReader,
 } from '@oathead/jobs';
 import {RelayedRowStore} from '@oathead/stores';
-import {PeerLinks} from '../connection/peer_links.js';
+import {PeerClients} from '../connection/peer_clients.js';
 import type {
   JobCalls,
   ListenAddress,
   ServingContext,
   ServingHost,
   ServingIdentity,
-} from './serving_host.js';
+} from './serving_platform.js';
 
-/** What a serving process is made of. */
-export interface ServingParts {
+/** The components of a serving process. */
+export interface ServingComponents {
   readonly store: RelayedRowStore;
-  readonly peers: PeerLinks;
+  readonly peers: PeerClients;
   readonly routing: RoutingState;
   readonly directory: TargetDirectory;
   readonly membership: Membership;
@@ -63,46 +63,50 @@
   readonly freshness: FreshnessLease;
   readonly quotas: AccountQuotas;
   readonly online: OnlineContext;
-  readonly keeper: JobKeeper;
-  readonly janitor: JobJanitor;
+  readonly jobOwnership: JobOwnership;
+  readonly garbageCollector: JobGarbageCollector;
   readonly scheduler: BatchScheduler;
   readonly jobCalls: JobCalls;
 }
 
-/** How often the marks of targets fade a little, in milliseconds. */
-const HEALTH_TICK_MS = 1000;
+/** Interval at which the health records of targets decay, in milliseconds. */
+const HEALTH_DECAY_INTERVAL_MS = 1000;
 
 /**
- * @param host - The adapter's side.
- * @param context - Clock, randomness, log and counters.
- * @param held - Owns the parts.
- * @returns The parts, none of them started.
+ * Creates the components of a serving process.
+ *
+ * @param platform - What the platform provides.
+ * @param context - Clock, randomness, log, counters and tracer.
+ * @param disposables - Owns the components.
+ * @returns The components; none of them is started.
  */
-export function servingParts(
-  host: ServingHost,
+export function createServingComponents(
+  platform: ServingHost,
   context: ServingContext,
-  held: DisposableStore,
-): ServingParts {
+  disposables: DisposableStore,
+): ServingComponents {
   const {clock, log, random} = context;
-  const {identity} = host;
-  const self = selfOf(identity, random.id());
-  const peers = new PeerLinks(
-    () => host.tunables().seeds,
+  const {identity} = platform;
+  const self = ownMember(identity, random.id());
+  const peers = new PeerClients(
+    () => platform.tunables().seeds,
     () => membership.peers(),
   );
-  const store = new RelayedRowStore(host.store, {
+  const store = new RelayedRowStore(platform.store, {
     ...context,
-    relays: () => peers.links(),
+    relays: () => peers.available(),
     probe: {table: MEMBER_TABLE, partition: ''},
   });
-  const membership: Membership = held.add(
+  const membership: Membership = disposables.add(
     new Membership(self, {store, clock, log}),
   );
   const routing = new RoutingState(log);
   const directory = new TargetDirectory({clock, log});
   const loads = new LoadTable(() => clock.now());
-  const socket = held.add(new HostSocket({...context, self: identity.loads}));
-  const exchange = held.add(
+  const socket = disposables.add(
+    new HostSocket({...context, self: identity.loads}),
+  );
+  const exchange = disposables.add(
     new LoadExchange({
       ...context,
       self,
@@ -116,7 +120,7 @@
     clock,
     log,
     directory,
-    lapseMs: () => host.tunables().targetLapseMs,
+    lapseMs: () => platform.tunables().targetLapseMs,
   });
   const hosts = () => membership.live().length;
   const homes = new HomeTargets({
@@ -126,7 +130,7 @@
   });
   const overload = new ServiceOverload({clock, random, directory, hosts});
   const sending = onlineContext(
-    {host, context, held},
+    {platform, context, disposables},
     {directory, loads, homes, overload, crashes},
   );
   const placement = placementOver(socket, {
@@ -139,29 +143,31 @@
       now: () => clock.now(),
     }),
     coordinator: () =>
-      host.options.coordinators === 'auto' ? exchange.coordinator : undefined,
+      platform.options.coordinators === 'auto'
+        ? exchange.coordinator
+        : undefined,
     coordinatorOf: name =>
-      host.options.coordinators === 'auto'
+      platform.options.coordinators === 'auto'
         ? exchange.coordinatorOf(name)
         : undefined,
     peer: id => {
       const member = membership.peer(id);
       return member && hostPeerOf(member);
     },
-    onYield: (targetId, items) => scheduler.giveWay(targetId, items),
+    onYield: (targetId, items) => scheduler.preemptItems(targetId, items),
   });
   const freshness = new FreshnessLease({
     readClocks: () => readClocks(clock),
     newestVersion: () => store.newestVersion,
-    leaseMs: () => host.tunables().keyLeaseMs,
+    leaseMs: () => platform.tunables().keyLeaseMs,
   });
-  const quotas = held.add(
+  const quotas = disposables.add(
     quotasOver(socket, {
       ...context,
       self: countingHostOf(self),
       hosts: () =>
         membership.known ? membership.live().map(countingHostOf) : undefined,
-      tolerance: () => host.tunables().quotaTolerance,
+      tolerance: () => platform.tunables().quotaTolerance,
       quotaOf: name => routing.current?.table.accounts?.named(name)?.quota,
     }),
   );
@@ -174,11 +180,13 @@
   });
   const online = {...sending, placement, admission};
   const reader = new JobReader(store);
-  const {storeLimits: limits} = host;
+  const {storeLimits: limits} = platform;
   const jobs = {...context, store, limits, reader, membership};
-  const keeper = held.add(new JobKeeper(jobs));
-  const keepMs = () => host.tunables().keepJobsMs;
-  const janitor = held.add(new JobJanitor({...jobs, keepMs}));
+  const jobOwnership = disposables.add(new JobOwnership(jobs));
+  const closedJobRetentionMs = () => platform.tunables().keepJobsMs;
+  const garbageCollector = disposables.add(
+    new JobGarbageCollector({...jobs, closedJobRetentionMs}),
+  );
   const scheduling = {
     ...online,
     directory,
@@ -186,8 +194,8 @@
     self: self.id,
     storeTimeMs: () => store.storeTimeMs(),
   };
-  const scheduler: BatchScheduler = held.add(
-    new BatchScheduler(scheduling, () => keeper.jobs()),
+  const scheduler: BatchScheduler = disposables.add(
+    new BatchScheduler(scheduling, () => jobOwnership.jobs()),
   );
   return {
     store,
@@ -201,20 +209,20 @@
     freshness,
     quotas,
     online,
-    keeper,
-    janitor,
+    jobOwnership,
+    garbageCollector,
     scheduler,
-    jobCalls: jobCallsOf(jobs, keeper),
+    jobCalls: createJobOperations(jobs, jobOwnership),
   };
 }
 
-interface Base {
-  readonly host: ServingHost;
+interface ComponentContext {
+  readonly platform: ServingHost;
   readonly context: ServingContext;
-  readonly held: DisposableStore;
+  readonly disposables: DisposableStore;
 }
 
-interface Known {
+interface TargetState {
   readonly directory: TargetDirectory;
   readonly loads: LoadTable;
   readonly homes: HomeTargets;
@@ -222,18 +230,21 @@
   readonly crashes: CrashSuspects;
 }
 
-/** What requests and items share: connections, health and choice of targets. */
+/**
+ * Creates the dependencies that online requests and batch items share:
+ * connections, target health and target selection.
+ */
 function onlineContext(
-  {host, context, held}: Base,
-  {directory, loads, homes, overload, crashes}: Known,
+  {platform, context, disposables}: ComponentContext,
+  {directory, loads, homes, overload, crashes}: TargetState,
 ): Omit<OnlineContext, 'placement' | 'admission'> {
   const {clock, log, random, counters} = context;
-  const {protocol} = host;
-  const {dataCentre} = host.identity;
+  const {protocol} = platform;
+  const {dataCentre} = platform.identity;
   const suspensions = new TargetSuspensions(clock, log);
   const health = new ServiceHealth(clock);
-  const pool = held.add(new ConnectionPool(counters));
-  held.add(repeat(clock, HEALTH_TICK_MS, () => health.tick()));
+  const pool = disposables.add(new ConnectionPool(counters));
+  disposables.add(repeat(clock, HEALTH_DECAY_INTERVAL_MS, () => health.tick()));
   directory.onGone(id => {
     suspensions.forget(id);
     health.forget(id);
@@ -245,33 +256,33 @@
   return {...context, protocol, pool, ...known, chooser, crashes, patience};
 }
 
-function jobCallsOf(
+function createJobOperations(
   context: ServingContext & {
     readonly store: RelayedRowStore;
     readonly limits: ServingHost['storeLimits'];
     readonly reader: JobReader;
   },
-  keeper: JobKeeper,
+  jobOwnership: JobOwnership,
 ): JobCalls {
   const {reader} = context;
-  const owner = () => keeper.ownerOfNew();
+  const owner = () => jobOwnership.ownerForNewJob();
   const sinceAnswerMs = () => context.store.sinceAnswerMs;
   const intake = new JobIntake({...context, owner, sinceAnswerMs});
   return {
     reader,
-    end: jobId => endJob(context, jobId),
+    end: jobId => cancelJob(context, jobId),
     handIn: async submission => {
       const result = await intake.accept(submission);
       if (result.kind === 'accepted' && result.written) {
-        reader.remember(submission.id, submission.items);
-        keeper.accepted(result.written);
+        reader.cacheItems(submission.id, submission.items);
+        jobOwnership.accepted(result.written);
       }
       return result;
     },
   };
 }
 
-function selfOf(
+function ownMember(
   {host, dataCentre, loads, control}: ServingIdentity,
   nonce: string,
 ): Member {
--- a/packages/serving/src/lib/process/serving_options.ts
+++ b/packages/serving/src/lib/process/serving_options.ts
@@ -1,23 +1,30 @@
-/** The program's own settings: JSON, checked, beside those of the platform. */
+/**
+ * Settings of the serving program itself: a validated JSON file, separate from
+ * the settings of the platform.
+ */
 import {DEFAULT_LOG_BUFFER_BYTES} from '@oathead/observe';
 import {z} from 'zod';
 
-/** Settings of a serving program that its operators choose. */
+/** Schema of the settings of a serving program, which its operators choose. */
 export const SERVING_OPTIONS = z.strictObject({
-  /** Whether each hop of a request becomes a line of the log. */
+  /** Whether each hop of a request is written to the log as a span. */
   traces: z.enum(['off', 'log']).default('off'),
-  /** Bytes of log lines that wait to be written at the most; what does not fit
-   * is dropped and counted. */
+  /**
+   * Maximum size of buffered log lines, in bytes; lines beyond it are dropped
+   * and counted.
+   */
   logBufferBytes: z.number().int().positive().default(DEFAULT_LOG_BUFFER_BYTES),
-  /** Whether this host asks the coordinator of its data centre for places on a large
-   * fleet. It answers others in any case. */
+  /**
+   * Whether this host sends placement requests to the coordinator of its data
+   * centre on a large fleet. It answers those of other hosts in any case.
+   */
   coordinators: z.enum(['auto', 'off']).default('auto'),
 });
 
-/** Settings of a serving program that its operators choose. */
+/** Settings of a serving program, with defaults filled in. */
 export type ServingOptions = Readonly<z.infer<typeof SERVING_OPTIONS>>;
 
-/** What counts where no file is named. */
+/** Settings in effect if no file is given. */
 export const DEFAULT_SERVING_OPTIONS: ServingOptions = SERVING_OPTIONS.parse(
   {},
 );
--- a/packages/serving/src/lib/process/serving_host.ts
+++ b/packages/serving/src/lib/process/serving_platform.ts
@@ -1,4 +1,4 @@
-/** What a serving process learns from where it runs, through its adapter. */
+/** Interfaces through which a serving process uses the platform it runs on. */
 import type {
   Clock,
   Counters,
@@ -18,81 +18,98 @@
 import type {RowStore, UnreadableRow, VersionedRow} from '@oathead/stores';
 import type {ServingOptions} from './serving_options.js';
 
-/** An address of this process. */
+/** An address that this process listens on. */
 export interface ListenAddress {
   readonly ip: string;
   readonly port: number;
 }
 
-/** A table of the store that somebody else writes. */
+/** A table of the store that is written outside of the serving processes. */
 export interface SourceTable<T> {
   readonly table: string;
-  /** @returns What a row says; undefined where it is none of ours. */
+  /**
+   * @returns The decoded row; undefined if it does not belong to this system.
+   */
   decode(row: VersionedRow): Outcome<T, UnreadableRow> | undefined;
 }
 
-/** What callers can do with batch jobs. */
+/** Operations on batch jobs for callers. */
 export interface JobCalls {
   readonly reader: JobReader;
-  /** @returns What came of ending a job. */
+  /**
+   * Cancels a job.
+   *
+   * @param jobId - Id of the job.
+   * @returns `ended` if it is closed now; `unsure` if the store did not confirm
+   *   it.
+   */
   end(jobId: string): Promise<'ended' | 'not-found' | 'unsure'>;
-  /** Accepts a job once, however often it is handed in. */
+  /** Accepts a job; repeated submissions are accepted once. */
   readonly handIn: JobIntake['accept'];
 }
 
-/** Addresses, names and bounds of this process. */
+/** Names and addresses of this process. */
 export interface ServingIdentity {
-  /** The host's name, the same after each start. */
+  /** Name of the host; it stays the same across restarts. */
   readonly host: string;
   readonly dataCentre: string;
   readonly front: ListenAddress;
   readonly ready: ListenAddress;
-  /** Where other hosts' questions are answered. */
+  /** Address of the RPC server for peers. */
   readonly control: ListenAddress;
-  /** Where other hosts send their loads. */
+  /** Address that receives the load reports of other hosts. */
   readonly loads: ListenAddress;
 }
 
 /** Settings that may change while the process runs. */
 export interface ServingTunables {
-  /** Where some hosts' questions are answered; they may be gone. */
+  /** RPC addresses of some hosts; some of them may be gone. */
   readonly seeds: readonly string[];
   /** How long a closed job stays readable, in milliseconds. */
   readonly keepJobsMs: number;
-  /** How long a planned stop may take, in milliseconds. */
+  /** Maximum duration of a graceful shutdown, in milliseconds. */
   readonly stopMs: number;
-  /** Until the entry of a target that crashed is off the list, in milliseconds. */
+  /**
+   * Time after which the entry of a crashed target expires, in milliseconds.
+   */
   readonly targetLapseMs: number;
-  /** For how long callers are admitted by key after the configuration was last known
-   * to be the newest, in milliseconds; undefined: without a bound. */
+  /**
+   * How long callers are admitted by API key after the configuration was last
+   * known to be the newest, in milliseconds; undefined means without limit.
+   */
   readonly keyLeaseMs: number | undefined;
-  /** How exactly quotas of client accounts are kept. */
+  /** Tolerances within which quotas of client accounts are enforced. */
   readonly quotaTolerance: QuotaTolerance;
 }
 
-/** The adapter's side of a serving process. */
+/** What the platform provides to a serving process. */
 export interface ServingHost {
   readonly identity: ServingIdentity;
   readonly options: ServingOptions;
-  /** @returns What the settings say now; they are asked for at each use. */
+  /** @returns The current settings; called at each use. */
   tunables(): ServingTunables;
   readonly store: RowStore;
   readonly storeLimits: StoreLimits;
   readonly protocol: TargetProtocol;
   readonly config: SourceTable<RoutingTable>;
   readonly targets: SourceTable<Target>;
-  /** The path at which readiness is asked for. */
+  /** Path of the readiness endpoint. */
   readonly readyPath: string;
-  /** @returns The batch interface as callers speak it. */
+  /**
+   * Creates the batch interface for callers, in the platform's format.
+   *
+   * @param calls - Operations on batch jobs.
+   * @returns The interface.
+   */
   batchFront(calls: JobCalls): BatchFront;
 }
 
-/** What every part of the process uses. */
+/** Dependencies that all components of the process use. */
 export interface ServingContext {
   readonly clock: Clock;
   readonly random: Random;
   readonly log: EventLog;
   readonly counters: Counters;
-  /** Records a span for each hop; one that records nothing where traces are off. */
+  /** Records a span for each hop; a no-op if traces are off. */
   readonly tracer: Tracer;
 }
--- a/packages/serving/src/lib/process/serving_process.ts
+++ b/packages/serving/src/lib/process/serving_process.ts
@@ -1,6 +1,6 @@
 /**
- * A serving process: takes callers' requests, works on its share of the batch
- * jobs, and keeps nothing that another process could not go on from.
+ * A serving process: serves online requests and processes its share of the
+ * batch jobs. It keeps no state that another process could not recover.
  */
 import {DisposableStore, hashesReady, sleep} from '@oathead/core';
 import {
@@ -10,22 +10,34 @@
   type LifecycleState,
 } from '@oathead/gateway';
 import {servePeers} from '../connection/peer_router.js';
-import type {ServingContext, ServingHost} from './serving_host.js';
-import {servingParts, type ServingParts} from './serving_parts.js';
+import type {ServingContext, ServingHost} from './serving_platform.js';
+import {
+  createServingComponents,
+  type ServingComponents,
+} from './serving_components.js';
 import {TableFeeds} from './table_feeds.js';
 
-/** For how long callers may still come by a readiness seen before, in ms:
- * the balancer asks once a second and needs two misses. */
-const LINGER_MS = 3000;
-/** How often a stop looks whether everything has ended, in milliseconds. */
-const IDLE_CHECK_MS = 50;
-/** Kept back from the time of a stop for the exit itself, in milliseconds. */
+/**
+ * How long callers may still arrive after readiness is withdrawn, in
+ * milliseconds: the load balancer checks once a second and removes a host after
+ * two failed checks.
+ */
+const DRAIN_LINGER_MS = 3000;
+/**
+ * Interval at which a shutdown checks whether all requests have ended, in
+ * milliseconds.
+ */
+const DRAIN_POLL_INTERVAL_MS = 50;
+/**
+ * Part of the shutdown time that is reserved for the exit itself, in
+ * milliseconds.
+ */
 const EXIT_MARGIN_MS = 400;
 
-/** Runs until it is stopped. */
+/** Serves requests and jobs until it is stopped. */
 export class ServingProcess {
-  private readonly held = new DisposableStore();
-  private readonly parts: ServingParts;
+  private readonly disposables = new DisposableStore();
+  private readonly components: ServingComponents;
   private readonly feeds: TableFeeds;
   private readonly front: FrontServer;
   private readonly readiness: ReadyServer;
@@ -33,66 +45,88 @@
   private stopping: Promise<void> | undefined;
 
   /**
-   * @param host - The adapter's side.
-   * @param context - Clock, randomness, log and counters.
+   * @param platform - What the platform provides.
+   * @param context - Clock, randomness, log, counters and tracer.
    */
   constructor(
-    private readonly host: ServingHost,
+    private readonly platform: ServingHost,
     private readonly context: ServingContext,
   ) {
-    this.parts = servingParts(host, context, this.held);
-    const {store, routing, online, jobCalls} = this.parts;
-    this.feeds = this.held.add(
-      new TableFeeds(host, context, store, this.parts, () => this.prepare()),
+    this.components = createServingComponents(
+      platform,
+      context,
+      this.disposables,
+    );
+    const {store, routing, online, jobCalls} = this.components;
+    this.feeds = this.disposables.add(
+      new TableFeeds(platform, context, store, this.components, () =>
+        this.becomeReadyIfPrepared(),
+      ),
+    );
+    this.lifecycle = this.disposables.add(
+      new Lifecycle(state => this.onStateEntered(state)),
     );
-    this.lifecycle = this.held.add(new Lifecycle(state => this.entered(state)));
     this.front = new FrontServer({
       online,
       routing,
-      batch: host.batchFront(jobCalls),
+      batch: platform.batchFront(jobCalls),
       log: context.log,
       draining: () => this.lifecycle.state === 'draining',
     });
     this.readiness = new ReadyServer(
-      host.readyPath,
+      platform.readyPath,
       () => this.lifecycle.state === 'ready' && online.admission.isOpen,
     );
   }
 
-  /** Starts all parts; resolves when callers can connect. */
+  /**
+   * Starts all components.
+   *
+   * @returns Resolves when callers can connect.
+   */
   async start(): Promise<void> {
     await hashesReady;
-    const {identity} = this.host;
-    const {routing, membership, keeper, janitor, scheduler, peers} = this.parts;
-    const {socket, exchange, quotas} = this.parts;
+    const {identity} = this.platform;
+    const {
+      routing,
+      membership,
+      jobOwnership,
+      garbageCollector,
+      scheduler,
+      peers,
+    } = this.components;
+    const {socket, exchange, quotas} = this.components;
     this.context.log.event('process-started', {
       member: membership.self.id,
       dataCentre: identity.dataCentre,
     });
-    routing.onAdopted(() => this.prepare());
+    routing.onAdopted(() => this.becomeReadyIfPrepared());
     this.feeds.start();
-    this.held.add(this.answerPeers());
-    void this.feeds.askPeers(peers, () => this.lifecycle.state === 'starting');
-    for (const part of [
+    this.disposables.add(this.startPeerServer());
+    void this.feeds.seedFromPeers(
+      peers,
+      () => this.lifecycle.state === 'starting',
+    );
+    for (const component of [
       membership,
       socket,
       exchange,
       quotas,
-      keeper,
-      janitor,
+      jobOwnership,
+      garbageCollector,
       scheduler,
     ])
-      part.start();
+      component.start();
     await this.readiness.listen(identity.ready.ip, identity.ready.port);
     await this.front.listen(identity.front.ip, identity.front.port);
   }
 
   /**
-   * A planned stop: no new connections, jobs to other hosts, and what is under
-   * way to its end.
+   * Shuts down gracefully: accepts no new connections, hands jobs over to other
+   * hosts and lets open requests end.
    *
-   * Guards against a stop that is asked for twice and cuts off what the first one
-   * lets end: who asks again waits for the stop that is under way.
+   * Guards against a second call that cuts off requests which the first one
+   * lets end: further calls wait for the shutdown in progress.
    *
    * @returns Resolves when the process may exit.
    */
@@ -107,24 +141,24 @@
     this.lifecycle.send({type: 'IDLE'});
   }
 
-  private answerPeers(): Disposable {
-    const {identity} = this.host;
-    const store = this.parts.store.forPeers;
+  private startPeerServer(): Disposable {
+    const {identity} = this.platform;
+    const store = this.components.store.forPeers;
     const snapshot = () => this.feeds.snapshot();
     const {ip, port} = identity.control;
     return servePeers({store, snapshot}, ip, port);
   }
 
-  /** Takes callers as soon as configuration and targets are known. */
-  private prepare(): void {
-    const {routing, directory} = this.parts;
+  /** Becomes ready once the configuration and at least one target are known. */
+  private becomeReadyIfPrepared(): void {
+    const {routing, directory} = this.components;
     if (this.lifecycle.state !== 'starting') return;
     if (!routing.current || directory.size === 0) return;
     this.lifecycle.send({type: 'PREPARED'});
   }
 
-  private entered(state: LifecycleState): void {
-    const {routing, directory} = this.parts;
+  private onStateEntered(state: LifecycleState): void {
+    const {routing, directory} = this.components;
     this.context.log.event('process-state', {
       state,
       configVersion: routing.current?.table.version,
@@ -133,26 +167,27 @@
     if (state !== 'stopped') return;
     this.front.close();
     this.readiness.close();
-    this.held[Symbol.dispose]();
+    this.disposables[Symbol.dispose]();
   }
 
   private async drain(): Promise<void> {
     const {clock, log} = this.context;
-    const {scheduler, keeper} = this.parts;
+    const {scheduler, jobOwnership} = this.components;
     const startedAt = clock.now();
-    const endsAt = startedAt + this.host.tunables().stopMs - EXIT_MARGIN_MS;
+    const deadline =
+      startedAt + this.platform.tunables().stopMs - EXIT_MARGIN_MS;
     scheduler.pause();
-    await keeper.handOverAll();
+    await jobOwnership.handOverAll();
     for (;;) {
       const now = clock.now();
-      const lingers = now < startedAt + LINGER_MS;
-      if (now >= endsAt) break;
-      if (!lingers) {
+      const lingering = now < startedAt + DRAIN_LINGER_MS;
+      if (now >= deadline) break;
+      if (!lingering) {
         this.front.stopListening();
         this.front.closeIdle();
       }
-      if (!lingers && this.front.openRequests === 0) break;
-      await sleep(clock, IDLE_CHECK_MS);
+      if (!lingering && this.front.openRequests === 0) break;
+      await sleep(clock, DRAIN_POLL_INTERVAL_MS);
     }
     log.event('process-drained', {
       ms: Math.round(clock.now() - startedAt),
--- a/packages/serving/src/lib/process/settings_watch.ts
+++ b/packages/serving/src/lib/process/settings_watch.ts
@@ -1,80 +1,87 @@
 /**
- * Follows a settings file while its process runs. New settings count as soon as
- * they are seen; wrong ones are told of and the last good ones stay in force.
+ * Reloads a settings file while the process runs. Valid settings take effect as
+ * soon as they are read; invalid ones are logged, and the last valid settings
+ * stay in effect.
  *
- * Guards against a file that changes without a signal, or is read while it is
- * being written: it is looked at from time to time, and what can't be read or
- * checked changes nothing.
+ * Guards against a file that changes without a signal or is read while it is
+ * being written: the file is polled, and content that cannot be read or
+ * validated changes nothing.
  */
 import {repeat, type Clock, type EventLog, type Outcome} from '@oathead/core';
 
-/** How often the file is looked at, in milliseconds: a change is seen within the
- * few seconds that a change of the configuration may take. */
-const LOOK_MS = 2000;
+/**
+ * Polling interval of the file, in milliseconds: short enough for a change to
+ * take effect within the few seconds allowed for configuration changes.
+ */
+const POLL_INTERVAL_MS = 2000;
 
-/** What a {@link SettingsWatch} needs. */
+/** Dependencies of a {@link SettingsWatch}. */
 export interface SettingsWatchContext<T> {
   readonly clock: Clock;
   readonly log: EventLog;
-  /** @returns The settings as the file has them now, or what is wrong. */
+  /** @returns The current settings of the file, or the problems found in it. */
   readonly read: () => Outcome<T, readonly string[]>;
-  /** Settings that a running process can't change; they need a new start. */
+  /** Settings that only take effect after a restart. */
   readonly fixed: ReadonlyArray<keyof T & string>;
 }
 
-/** What made the file be read. */
+/** Reason for reading the file. */
 export type ReloadCause = 'signal' | 'file changed';
 
-/** Keeps the settings in force. */
+/** Holds the settings in effect and keeps them up to date. */
 export class SettingsWatch<T extends object> implements Disposable {
-  private readonly looking: Disposable;
-  private seen: string;
+  private readonly pollTimer: Disposable;
+  private lastSeen: string;
 
   /**
-   * @param inForce - The settings that the process was started with.
-   * @param context - How the file is read, and where changes are told.
+   * @param inForce - Settings that the process was started with.
+   * @param context - Reader of the file, clock and log.
    */
   constructor(
     private inForce: T,
     private readonly context: SettingsWatchContext<T>,
   ) {
-    this.seen = JSON.stringify(inForce);
-    this.looking = repeat(context.clock, LOOK_MS, () => this.look());
+    this.lastSeen = JSON.stringify(inForce);
+    this.pollTimer = repeat(context.clock, POLL_INTERVAL_MS, () => this.poll());
   }
 
-  /** The settings in force. */
+  /** The settings in effect. */
   get current(): T {
     return this.inForce;
   }
 
-  /** Ends the watch. */
+  /** Stops polling. */
   [Symbol.dispose](): void {
-    this.looking[Symbol.dispose]();
+    this.pollTimer[Symbol.dispose]();
   }
 
-  /** @param cause - Why the file is read now; the log says so. */
+  /**
+   * Reads the file and applies its settings if they are valid.
+   *
+   * @param cause - Reason for reading the file; it is logged.
+   */
   reload(cause: ReloadCause): void {
     const {log, read, fixed} = this.context;
     const settings = read();
     if (!settings.ok) {
-      this.seen = settings.err.join('\n');
+      this.lastSeen = settings.err.join('\n');
       log.event('settings-rejected', {cause, problems: settings.err});
       return;
     }
     const next = settings.value;
-    this.seen = JSON.stringify(next);
+    this.lastSeen = JSON.stringify(next);
     const changed = changedFields(this.inForce, next);
     const needRestart = changed.filter(name => fixed.includes(name));
     this.inForce = next;
     log.event('settings-reloaded', {cause, changed, needRestart});
   }
 
-  private look(): void {
+  private poll(): void {
     const settings = this.context.read();
     const found = settings.ok
       ? JSON.stringify(settings.value)
       : settings.err.join('\n');
-    if (found !== this.seen) this.reload('file changed');
+    if (found !== this.lastSeen) this.reload('file changed');
   }
 }
 
--- a/packages/serving/src/lib/process/table_feeds.ts
+++ b/packages/serving/src/lib/process/table_feeds.ts
@@ -1,6 +1,7 @@
 /**
- * The tables that a serving process follows, and who learns of their changes.
- * While the store can't be asked at a start, peers are.
+ * Watches the tables that a serving process uses and passes their changes to
+ * its components. If the store is unavailable at startup, the tables are read
+ * from peers.
  */
 import {DisposableStore, sleep, type FreshnessLease} from '@oathead/core';
 import {
@@ -14,29 +15,29 @@
 import {
   HEAD_TABLE,
   JOB_PARTITIONS,
-  type JobJanitor,
-  type JobKeeper,
+  type JobGarbageCollector,
+  type JobOwnership,
 } from '@oathead/jobs';
 import {TableWatch, type RowStore, type TableUpdate} from '@oathead/stores';
 import {LRUCache} from 'lru-cache';
-import type {PeerLinks} from '../connection/peer_links.js';
+import type {PeerClients} from '../connection/peer_clients.js';
 import type {Snapshot} from '../connection/peer_router.js';
-import type {ServingContext, ServingHost} from './serving_host.js';
+import type {ServingContext, ServingHost} from './serving_platform.js';
 
-/** Who learns of changes. */
-export interface FeedReaders {
-  /** Whether the configuration is the newest. */
+/** Components that receive changes. */
+export interface FeedConsumers {
+  /** Tracks whether the configuration is the newest. */
   readonly freshness: FreshnessLease;
   readonly routing: RoutingState;
   readonly directory: TargetDirectory;
   readonly membership: Membership;
   readonly crashes: CrashSuspects;
-  readonly keeper: JobKeeper;
-  readonly janitor: JobJanitor;
+  readonly jobOwnership: JobOwnership;
+  readonly garbageCollector: JobGarbageCollector;
 }
 
-/** How a table is followed. */
-interface Pace {
+/** How a table is watched. */
+interface FeedSettings {
   readonly waitMs: number;
   readonly pauseMs: number;
   readonly fullReadMs: number;
@@ -44,87 +45,106 @@
 }
 
 /**
- * A change of the configuration is to be known within two seconds, also when
- * the connection has gone silent: a wait of 600 ms and the store client's margin
- * end such a call well before. Lists that change with each heartbeat are asked
- * for a few times a second only, whatever their size.
+ * Watch settings by table. A change of the configuration must be known within
+ * two seconds, also if the connection no longer responds: a wait of 600 ms plus
+ * the timeout margin of the store client ends such a call well before. Tables
+ * that change with each heartbeat are polled only a few times a second,
+ * whatever their size.
  */
-const PACES = {
+const FEED_SETTINGS = {
   config: {waitMs: 600, pauseMs: 0, fullReadMs: 10_000, pageRows: 500},
   targets: {waitMs: 600, pauseMs: 250, fullReadMs: 10_000, pageRows: 500},
   members: {waitMs: 900, pauseMs: 500, fullReadMs: 30_000, pageRows: 500},
   suspects: {waitMs: 1500, pauseMs: 500, fullReadMs: 60_000, pageRows: 500},
   heads: {waitMs: 900, pauseMs: 300, fullReadMs: 60_000, pageRows: 500},
-} as const satisfies Record<string, Pace>;
-
-/** After an outage, targets' entries that have lapsed are waited for so long,
- * in milliseconds: live targets renew them within two seconds. */
-const LAPSED_TARGET_GRACE_MS = 2200;
-/** How long a starting process waits for the store before it asks its peers, and
- * between two such questions, in milliseconds. */
-const ASK_PEERS_MS = 400;
-/** Unreadable rows that are remembered, so that each is logged once. */
+} as const satisfies Record<string, FeedSettings>;
+
+/**
+ * How long expired targets are kept after a store outage, in milliseconds. Live
+ * targets renew their entries within two seconds.
+ */
+const EXPIRED_TARGET_GRACE_MS = 2200;
+/**
+ * How long a starting process waits for the store before it asks its peers for
+ * a snapshot, and the interval between such requests, in milliseconds.
+ */
+const PEER_SNAPSHOT_INTERVAL_MS = 400;
+/**
+ * Maximum number of unreadable rows remembered, so that each is logged once.
+ */
 const MAX_UNREADABLE_ROWS = 1000;
-/** Tables without subdivision have this one partition. */
-const WHOLE = [''] as const;
+/** The only partition of tables that are not partitioned. */
+const SINGLE_PARTITION = [''] as const;
 
-/** Follows the tables until disposed. */
+/** Watches the tables until it is disposed. */
 export class TableFeeds implements Disposable {
-  private readonly held = new DisposableStore();
+  private readonly disposables = new DisposableStore();
   private readonly watches = new Map<string, TableWatch>();
-  /** Why a row could not be read when it was last logged. */
+  /** Last logged error by unreadable row. */
   private readonly unreadableRows = new LRUCache<string, string>({
     max: MAX_UNREADABLE_ROWS,
   });
 
   /**
-   * @param host - Which tables are the platform's, and how to read their rows.
+   * @param platform - Tables of the platform and decoders for their rows.
    * @param context - Clock, log and counters.
-   * @param store - Where the tables lie.
-   * @param readers - Who learns of changes.
-   * @param onTargets - Called after each answer about targets.
+   * @param store - Store that holds the tables.
+   * @param consumers - Components that receive changes.
+   * @param onTargets - Called after each update of the targets.
    */
   constructor(
-    private readonly host: ServingHost,
+    private readonly platform: ServingHost,
     private readonly context: ServingContext,
     private readonly store: RowStore,
-    private readonly readers: FeedReaders,
+    private readonly consumers: FeedConsumers,
     private readonly onTargets: () => void,
   ) {}
 
-  /** Begins to follow all tables. */
+  /** Starts watching all tables. */
   start(): void {
-    const {config, targets} = this.host;
-    const {membership, crashes, keeper, janitor} = this.readers;
-    const {freshness} = this.readers;
-    this.follow(
+    const {config, targets} = this.platform;
+    const {membership, crashes, jobOwnership, garbageCollector} =
+      this.consumers;
+    const {freshness} = this.consumers;
+    this.watchTable(
       config.table,
-      WHOLE,
-      PACES.config,
+      SINGLE_PARTITION,
+      FEED_SETTINGS.config,
       update => this.updateConfig(update),
       freshness,
     );
-    this.follow(targets.table, WHOLE, PACES.targets, update =>
-      this.updateTargets(update),
+    this.watchTable(
+      targets.table,
+      SINGLE_PARTITION,
+      FEED_SETTINGS.targets,
+      update => this.updateTargets(update),
     );
-    this.follow(MEMBER_TABLE, WHOLE, PACES.members, update =>
-      membership.update(update),
+    this.watchTable(
+      MEMBER_TABLE,
+      SINGLE_PARTITION,
+      FEED_SETTINGS.members,
+      update => membership.update(update),
     );
-    this.follow(SUSPECT_TABLE, WHOLE, PACES.suspects, update =>
-      crashes.update(update),
+    this.watchTable(
+      SUSPECT_TABLE,
+      SINGLE_PARTITION,
+      FEED_SETTINGS.suspects,
+      update => crashes.update(update),
     );
-    this.follow(HEAD_TABLE, JOB_PARTITIONS, PACES.heads, update => {
-      keeper.update(update);
-      janitor.update(update);
+    this.watchTable(HEAD_TABLE, JOB_PARTITIONS, FEED_SETTINGS.heads, update => {
+      jobOwnership.update(update);
+      garbageCollector.update(update);
     });
   }
 
-  /** Ends all watches. */
+  /** Stops all watches. */
   [Symbol.dispose](): void {
-    this.held[Symbol.dispose]();
+    this.disposables[Symbol.dispose]();
   }
 
-  /** @returns What another process needs to start without the store. */
+  /**
+   * @returns The tables that another process needs to start without the store.
+   */
   snapshot(): Snapshot {
     return Object.fromEntries(
       this.sharedTables().map(table => [table, this.watches.get(table)!.all()]),
@@ -132,19 +152,22 @@
   }
 
   /**
-   * Learns from other hosts what the store can't tell.
+   * Seeds tables that could not be read from the store with a peer's snapshot.
    *
-   * Guards against a start while the store is down for all: without this the
-   * process would know no configuration and no targets until the store is back,
-   * while the hosts beside it serve by what they have.
+   * Guards against a start while the store is down for all hosts: otherwise the
+   * process would have no configuration and no targets until the store is back,
+   * while other hosts keep serving from what they have in memory.
    *
-   * @param peers - Who can be asked.
-   * @param starting - Whether anything is still missing.
+   * @param peers - Clients of the peers.
+   * @param starting - Whether the process is still starting.
    */
-  async askPeers(peers: PeerLinks, starting: () => boolean): Promise<void> {
+  async seedFromPeers(
+    peers: PeerClients,
+    starting: () => boolean,
+  ): Promise<void> {
     const {clock, log} = this.context;
     while (starting()) {
-      await sleep(clock, ASK_PEERS_MS);
+      await sleep(clock, PEER_SNAPSHOT_INTERVAL_MS);
       const unread = this.sharedTables().filter(
         table => !this.watches.get(table)!.hasRead,
       );
@@ -159,62 +182,68 @@
   }
 
   private sharedTables(): readonly string[] {
-    const {config, targets} = this.host;
+    const {config, targets} = this.platform;
     return [config.table, targets.table, MEMBER_TABLE];
   }
 
-  private follow(
+  private watchTable(
     table: string,
     partitions: readonly string[],
-    pace: Pace,
+    settings: FeedSettings,
     onUpdate: (update: TableUpdate) => void,
     freshness?: FreshnessLease,
   ): void {
-    const options = {table, partitions, ...pace};
+    const options = {table, partitions, ...settings};
     const context = {...this.context, store: this.store, freshness};
-    const watch = this.held.add(new TableWatch(options, context, onUpdate));
+    const watch = this.disposables.add(
+      new TableWatch(options, context, onUpdate),
+    );
     this.watches.set(table, watch);
     watch.start();
   }
 
   private updateConfig({put}: TableUpdate): void {
     for (const row of put) {
-      const table = this.host.config.decode(row);
+      const table = this.platform.config.decode(row);
       if (!table) continue;
-      if (table.ok) this.readers.routing.adopt(table.value, 'store');
-      else this.unreadable('config', row.key, table.err.message);
+      if (table.ok) this.consumers.routing.adopt(table.value, 'store');
+      else this.reportUnreadableRow('config', row.key, table.err.message);
     }
   }
 
   private updateTargets({put, removed}: TableUpdate): void {
-    const {directory} = this.readers;
-    const graceMs = directory.listRead() ? LAPSED_TARGET_GRACE_MS : 0;
+    const {directory} = this.consumers;
+    const graceMs = directory.listRead() ? EXPIRED_TARGET_GRACE_MS : 0;
     for (const {key} of removed) directory.remove(key, graceMs);
     for (const row of put) {
-      const target = this.host.targets.decode(row);
+      const target = this.platform.targets.decode(row);
       if (!target) continue;
       if (target.ok) {
         directory.put(target.value);
-        this.unreadableRows.delete(rowName('target', row.key));
+        this.unreadableRows.delete(unreadableRowKey('target', row.key));
         continue;
       }
-      // What is not an entry of a server names none that could be used.
+      // An entry that cannot be decoded does not describe a usable target.
       directory.remove(row.key, 0);
-      this.unreadable('target', row.key, target.err.message);
+      this.reportUnreadableRow('target', row.key, target.err.message);
     }
     this.onTargets();
   }
 
-  private unreadable(what: string, key: string, message: string): void {
+  private reportUnreadableRow(
+    what: string,
+    key: string,
+    message: string,
+  ): void {
     this.context.counters.count('rows_unreadable', {what});
-    // The writer of a bad row may write it again with each of its heartbeats.
-    const name = rowName(what, key);
+    // The writer of an invalid row may write it again with each heartbeat.
+    const name = unreadableRowKey(what, key);
     if (this.unreadableRows.get(name) === message) return;
     this.unreadableRows.set(name, message);
     this.context.log.event('row-unreadable', {what, key, message});
   }
 }
 
-function rowName(what: string, key: string): string {
+function unreadableRowKey(what: string, key: string): string {
   return `${what} ${key}`;
 }
