--- a/packages/jobs/src/lib/process/batch_scheduler.ts
+++ b/packages/jobs/src/lib/process/batch_scheduler.ts
@@ -64,7 +64,7 @@
    * The local load table changes with the next load report, so the route is
    * tried again in the next interval.
    */
-  ownView: SCHEDULING_INTERVAL_MS / 2,
+  localView: SCHEDULING_INTERVAL_MS / 2,
   /** Each attempt sends a placement request to another host. */
   coordinator: 50,
 } as const;
@@ -215,7 +215,9 @@
     const target = await this.targetFor(route, candidate);
     if (!target) {
       const backoffMs =
-        FULL_ROUTE_BACKOFF_MS[placement.asksOthers ? 'coordinator' : 'ownView'];
+        FULL_ROUTE_BACKOFF_MS[
+          placement.asksOthers ? 'coordinator' : 'localView'
+        ];
       this.routeFullUntil.set(
         fullRouteKey(route, candidate),
         clock.now() + backoffMs,
--- a/packages/jobs/src/lib/process/item_durations.ts
+++ b/packages/jobs/src/lib/process/item_durations.ts
@@ -32,7 +32,9 @@
 
 /** Moving averages over the items of a host name. */
 interface ItemStats {
+  /** Texts per item. */
   readonly texts: number;
+  /** Time on a target per text, in milliseconds. */
   readonly msPerText: number;
 }
 
--- a/packages/jobs/src/test/process/item_idle_timeout_test.ts
+++ b/packages/jobs/src/test/process/item_idle_timeout_test.ts
@@ -20,8 +20,8 @@
 // All engines are slow: an item receives nothing for 20 s and then runs. With a
 // constant timeout it would never complete.
 test('an item on slow engines gets enough time to complete', t => {
-  const needsMs = 20_000;
+  const requiredMs = 20_000;
   const limits = [0, 1, 2, 3, 4].map(idleTimeoutMs);
-  t.true(limits.some(limit => limit > needsMs));
+  t.true(limits.some(limit => limit > requiredMs));
   t.true(limits.every(limit => limit <= 60_000));
 });
--- a/packages/serving/src/lib/process/serving_components.ts
+++ b/packages/serving/src/lib/process/serving_components.ts
@@ -66,7 +66,7 @@
   readonly jobOwnership: JobOwnership;
   readonly garbageCollector: JobGarbageCollector;
   readonly scheduler: BatchScheduler;
-  readonly jobCalls: JobCalls;
+  readonly jobOperations: JobCalls;
 }
 
 /** Interval at which the health records of targets decay, in milliseconds. */
@@ -212,7 +212,7 @@
     jobOwnership,
     garbageCollector,
     scheduler,
-    jobCalls: createJobOperations(jobs, jobOwnership),
+    jobOperations: createJobOperations(jobs, jobOwnership),
   };
 }
 
--- a/packages/serving/src/lib/process/serving_process.ts
+++ b/packages/serving/src/lib/process/serving_process.ts
@@ -57,7 +57,7 @@
       context,
       this.disposables,
     );
-    const {store, routing, online, jobCalls} = this.components;
+    const {store, routing, online, jobOperations} = this.components;
     this.feeds = this.disposables.add(
       new TableFeeds(platform, context, store, this.components, () =>
         this.becomeReadyIfPrepared(),
@@ -69,7 +69,7 @@
     this.front = new FrontServer({
       online,
       routing,
-      batch: platform.batchFront(jobCalls),
+      batch: platform.batchFront(jobOperations),
       log: context.log,
       draining: () => this.lifecycle.state === 'draining',
     });
--- a/packages/serving/src/lib/process/table_feeds.ts
+++ b/packages/serving/src/lib/process/table_feeds.ts
@@ -36,11 +36,15 @@
   readonly garbageCollector: JobGarbageCollector;
 }
 
-/** How a table is watched. */
+/** How a table is watched; all times are in milliseconds. */
 interface FeedSettings {
+  /** How long the store may hold a call until there are changes. */
   readonly waitMs: number;
+  /** Minimum interval between the starts of two calls. */
   readonly pauseMs: number;
+  /** Interval at which the whole table is read. */
   readonly fullReadMs: number;
+  /** Maximum number of rows per page of a full read. */
   readonly pageRows: number;
 }
 
