--- a/packages/serving/src/lib/process/serving_components.ts
+++ b/packages/serving/src/lib/process/serving_components.ts
@@ -43,10 +43,10 @@
 import {RelayedRowStore} from '@oathead/stores';
 import {PeerClients} from '../connection/peer_clients.js';
 import type {
-  JobCalls,
+  JobOperations,
   ListenAddress,
   ServingContext,
-  ServingHost,
+  ServingPlatform,
   ServingIdentity,
 } from './serving_platform.js';
 
@@ -66,7 +66,7 @@
   readonly jobOwnership: JobOwnership;
   readonly garbageCollector: JobGarbageCollector;
   readonly scheduler: BatchScheduler;
-  readonly jobOperations: JobCalls;
+  readonly jobOperations: JobOperations;
 }
 
 /** Interval at which the health records of targets decay, in milliseconds. */
@@ -81,7 +81,7 @@
  * @returns The components; none of them is started.
  */
 export function createServingComponents(
-  platform: ServingHost,
+  platform: ServingPlatform,
   context: ServingContext,
   disposables: DisposableStore,
 ): ServingComponents {
@@ -120,7 +120,7 @@
     clock,
     log,
     directory,
-    lapseMs: () => platform.tunables().targetLapseMs,
+    lapseMs: () => platform.tunables().targetExpiryMs,
   });
   const hosts = () => membership.live().length;
   const homes = new HomeTargets({
@@ -183,7 +183,7 @@
   const {storeLimits: limits} = platform;
   const jobs = {...context, store, limits, reader, membership};
   const jobOwnership = disposables.add(new JobOwnership(jobs));
-  const closedJobRetentionMs = () => platform.tunables().keepJobsMs;
+  const closedJobRetentionMs = () => platform.tunables().closedJobRetentionMs;
   const garbageCollector = disposables.add(
     new JobGarbageCollector({...jobs, closedJobRetentionMs}),
   );
@@ -217,7 +217,7 @@
 }
 
 interface ComponentContext {
-  readonly platform: ServingHost;
+  readonly platform: ServingPlatform;
   readonly context: ServingContext;
   readonly disposables: DisposableStore;
 }
@@ -259,11 +259,11 @@
 function createJobOperations(
   context: ServingContext & {
     readonly store: RelayedRowStore;
-    readonly limits: ServingHost['storeLimits'];
+    readonly limits: ServingPlatform['storeLimits'];
     readonly reader: JobReader;
   },
   jobOwnership: JobOwnership,
-): JobCalls {
+): JobOperations {
   const {reader} = context;
   const owner = () => jobOwnership.ownerForNewJob();
   const sinceAnswerMs = () => context.store.sinceAnswerMs;
@@ -271,7 +271,7 @@
   return {
     reader,
     end: jobId => cancelJob(context, jobId),
-    handIn: async submission => {
+    submit: async submission => {
       const result = await intake.accept(submission);
       if (result.kind === 'accepted' && result.written) {
         reader.cacheItems(submission.id, submission.items);
--- a/packages/serving/src/lib/process/serving_platform.ts
+++ b/packages/serving/src/lib/process/serving_platform.ts
@@ -34,7 +34,7 @@
 }
 
 /** Operations on batch jobs for callers. */
-export interface JobCalls {
+export interface JobOperations {
   readonly reader: JobReader;
   /**
    * Cancels a job.
@@ -45,7 +45,7 @@
    */
   end(jobId: string): Promise<'ended' | 'not-found' | 'unsure'>;
   /** Accepts a job; repeated submissions are accepted once. */
-  readonly handIn: JobIntake['accept'];
+  readonly submit: JobIntake['accept'];
 }
 
 /** Names and addresses of this process. */
@@ -66,13 +66,13 @@
   /** RPC addresses of some hosts; some of them may be gone. */
   readonly seeds: readonly string[];
   /** How long a closed job stays readable, in milliseconds. */
-  readonly keepJobsMs: number;
+  readonly closedJobRetentionMs: number;
   /** Maximum duration of a graceful shutdown, in milliseconds. */
-  readonly stopMs: number;
+  readonly shutdownTimeoutMs: number;
   /**
    * Time after which the entry of a crashed target expires, in milliseconds.
    */
-  readonly targetLapseMs: number;
+  readonly targetExpiryMs: number;
   /**
    * How long callers are admitted by API key after the configuration was last
    * known to be the newest, in milliseconds; undefined means without limit.
@@ -83,7 +83,7 @@
 }
 
 /** What the platform provides to a serving process. */
-export interface ServingHost {
+export interface ServingPlatform {
   readonly identity: ServingIdentity;
   readonly options: ServingOptions;
   /** @returns The current settings; called at each use. */
@@ -101,7 +101,7 @@
    * @param calls - Operations on batch jobs.
    * @returns The interface.
    */
-  batchFront(calls: JobCalls): BatchFront;
+  batchFront(calls: JobOperations): BatchFront;
 }
 
 /** Dependencies that all components of the process use. */
--- a/packages/serving/src/lib/process/serving_process.ts
+++ b/packages/serving/src/lib/process/serving_process.ts
@@ -10,7 +10,7 @@
   type LifecycleState,
 } from '@oathead/gateway';
 import {servePeers} from '../connection/peer_router.js';
-import type {ServingContext, ServingHost} from './serving_platform.js';
+import type {ServingContext, ServingPlatform} from './serving_platform.js';
 import {
   createServingComponents,
   type ServingComponents,
@@ -49,7 +49,7 @@
    * @param context - Clock, randomness, log, counters and tracer.
    */
   constructor(
-    private readonly platform: ServingHost,
+    private readonly platform: ServingPlatform,
     private readonly context: ServingContext,
   ) {
     this.components = createServingComponents(
@@ -175,7 +175,7 @@
     const {scheduler, jobOwnership} = this.components;
     const startedAt = clock.now();
     const deadline =
-      startedAt + this.platform.tunables().stopMs - EXIT_MARGIN_MS;
+      startedAt + this.platform.tunables().shutdownTimeoutMs - EXIT_MARGIN_MS;
     scheduler.pause();
     await jobOwnership.handOverAll();
     for (;;) {
--- a/packages/serving/src/lib/process/table_feeds.ts
+++ b/packages/serving/src/lib/process/table_feeds.ts
@@ -22,7 +22,7 @@
 import {LRUCache} from 'lru-cache';
 import type {PeerClients} from '../connection/peer_clients.js';
 import type {Snapshot} from '../connection/peer_router.js';
-import type {ServingContext, ServingHost} from './serving_platform.js';
+import type {ServingContext, ServingPlatform} from './serving_platform.js';
 
 /** Components that receive changes. */
 export interface FeedConsumers {
@@ -97,7 +97,7 @@
    * @param onTargets - Called after each update of the targets.
    */
   constructor(
-    private readonly platform: ServingHost,
+    private readonly platform: ServingPlatform,
     private readonly context: ServingContext,
     private readonly store: RowStore,
     private readonly consumers: FeedConsumers,
