--- a/packages/core/src/lib/process/caller_limits.ts
+++ b/packages/core/src/lib/process/caller_limits.ts
@@ -1,63 +1,64 @@
 /**
- * Limits of callers, shared among entries without a message per request. An
- * entry begins with an equal share of each limit. Now and then it tells what was
- * asked of it, and learns the sum over the others; from the two, however late,
- * it works out the share that its own traffic deserves. What entries are never
- * told still adds up: equal shares need no message at all.
+ * Rate and concurrency limits of callers, shared among entries without a
+ * message per request. Each entry starts with an equal share of each limit.
+ * Periodically it publishes its own demand and receives the sum of the others,
+ * from which, however late, it computes the share for its own traffic. If no
+ * messages arrive, the equal shares still add up to the limit.
  */
 import type {LimitSpec} from '../version/resource.js';
 import type {Refusal} from '../request/refusal.js';
 import {notRun} from '../request/refusal.js';
 
 const MS_PER_SECOND = 1000;
-/** Part of every limit that is shared out equally, whoever uses it. */
-const EQUAL_PART = 0.1;
+/** Fraction of every limit that is divided equally, regardless of demand. */
+const EQUAL_FRACTION = 0.1;
 /**
- * Requests that an entry may save up, however small its share: requests come in
- * lumps, and a share of less than one would refuse many for no reason.
+ * Minimum burst of an entry, in requests, however small its share. Requests
+ * arrive in bursts, and a bucket smaller than one request would refuse many of
+ * them needlessly.
  */
 const MIN_BURST = 3;
 const DEMAND_SMOOTHING_MS = 5_000;
 
-/** What one caller asks of one entry; refused requests count as well. */
+/** Demand of one caller at one entry, including refused requests. */
 export interface CallerUse {
-  /** A second. */
+  /** Per second. */
   readonly requests: number;
-  /** A second. */
+  /** Per second. */
   readonly tokens: number;
-  /** Running now. */
+  /** Requests that are running now. */
   readonly concurrent: number;
 }
 
-/** The rates that are limited by token buckets. */
-type Rate = 'requests' | 'tokens';
+/** Rates that are limited by token buckets. */
+type RateKind = 'requests' | 'tokens';
 
 interface Bucket {
   level: number;
-  /** Lately asked for. */
-  asked: number;
+  /** Exponentially decayed sum of recent demand. */
+  demand: number;
 }
 
 interface CallerState {
   spec: LimitSpec;
-  readonly buckets: Readonly<Record<Rate, Bucket>>;
+  readonly buckets: Readonly<Record<RateKind, Bucket>>;
   concurrent: number;
   updatedAt: number;
   share: number;
   concurrentShare: number;
 }
 
-/** The limits of all callers at one entry. */
+/** Limits of all callers at one entry. */
 export class CallerLimits {
   private readonly byCaller = new Map<string, CallerState>();
 
-  /** @param entryCount - Entries that share the limits. */
+  /** @param entryCount - Number of entries that share the limits. */
   constructor(private entryCount: number) {}
 
   /**
-   * @param caller - A caller.
-   * @param spec - Its declared limits, for all entries together.
-   * @param now - Milliseconds.
+   * @param caller - Name of the caller.
+   * @param spec - Declared limits, for all entries together.
+   * @param now - Current time, in milliseconds.
    */
   declare(caller: string, spec: LimitSpec, now: number): void {
     const known = this.byCaller.get(caller);
@@ -71,11 +72,11 @@
       buckets: {
         requests: {
           level: spec.requestsPerSecond * spec.burstSeconds * share,
-          asked: 0,
+          demand: 0,
         },
         tokens: {
           level: spec.tokensPerSecond * spec.burstSeconds * share,
-          asked: 0,
+          demand: 0,
         },
       },
       concurrent: 0,
@@ -85,12 +86,12 @@
     });
   }
 
-  /** @param caller - A caller without limits from now on. */
+  /** @param caller - Name of a caller that no longer has limits. */
   remove(caller: string): void {
     this.byCaller.delete(caller);
   }
 
-  /** @param count - Entries that share the limits from now on. */
+  /** @param count - New number of entries that share the limits. */
   setEntryCount(count: number): void {
     for (const state of this.byCaller.values()) {
       state.share *= this.entryCount / count;
@@ -100,29 +101,36 @@
   }
 
   /**
-   * Asks for room for one request, and takes it when there is.
+   * Admits or refuses one request. An admitted request consumes its tokens.
    *
-   * @param caller - The caller.
-   * @param tokens - Prompt tokens and the most that may be generated.
-   * @param now - Milliseconds.
-   * @returns The refusal, or undefined when the request may go on; then
-   *     {@link CallerLimits.ended} must follow.
+   * @param caller - Name of the caller.
+   * @param tokens - Prompt tokens plus the maximum of generated tokens.
+   * @param now - Current time, in milliseconds.
+   * @returns The refusal, or undefined if the request is admitted; then {@link
+   *     CallerLimits.ended} must be called when it ends.
    */
   begin(caller: string, tokens: number, now: number): Refusal | undefined {
     const state = this.byCaller.get(caller);
     if (state === undefined) return undefined;
     this.refill(state, now);
     const {requests, tokens: tokenBucket} = state.buckets;
-    requests.asked += 1;
-    tokenBucket.asked += tokens;
-    const most = state.spec.concurrent * state.concurrentShare;
-    if (state.concurrent >= Math.max(1, Math.round(most))) {
-      return limited('Too many requests at once.', MS_PER_SECOND);
+    requests.demand += 1;
+    tokenBucket.demand += tokens;
+    const maxConcurrent = state.spec.concurrent * state.concurrentShare;
+    if (state.concurrent >= Math.max(1, Math.round(maxConcurrent))) {
+      return rateLimited(
+        'Too many concurrent requests for this caller.',
+        MS_PER_SECOND,
+      );
     }
-    // A share may be less than one request, and a request larger than a whole
-    // bucket: each goes out while anything is left, and leaves a debt behind.
+    // A share can be less than one request, and a request larger than a whole
+    // bucket. Each is admitted while the level is positive and may leave it
+    // negative.
     if (requests.level <= 0 || tokenBucket.level <= 0) {
-      return limited('Over the declared rate.', waitMs(state));
+      return rateLimited(
+        'Request or token rate limit exceeded.',
+        retryDelayMs(state),
+      );
     }
     requests.level -= 1;
     tokenBucket.level -= tokens;
@@ -131,8 +139,11 @@
   }
 
   /**
-   * @param caller - The caller.
-   * @param unusedTokens - Tokens asked for and not generated: given back.
+   * Releases the capacity of an admitted request.
+   *
+   * @param caller - Name of the caller.
+   * @param unusedTokens - Tokens that were consumed on admission but not
+   *     generated; they are refunded.
    */
   ended(caller: string, unusedTokens: number): void {
     const state = this.byCaller.get(caller);
@@ -142,9 +153,10 @@
   }
 
   /**
-   * @param caller - A caller.
-   * @returns Whether it has spent most of its share here: only then is it worth
-   *     a message to learn what other entries leave unused.
+   * @param caller - Name of the caller.
+   * @returns Whether the caller has used most of its share at this entry. Only
+   *     then is it worth a message to learn the share that other entries leave
+   *     unused.
    */
   isNear(caller: string): boolean {
     const state = this.byCaller.get(caller);
@@ -159,78 +171,83 @@
   }
 
   /**
-   * @param now - Milliseconds.
-   * @returns What limited callers asked of this entry lately.
+   * @param now - Current time, in milliseconds.
+   * @returns Recent demand at this entry of each caller with limits.
    */
   use(now: number): ReadonlyMap<string, CallerUse> {
-    const uses = new Map<string, CallerUse>();
+    const demands = new Map<string, CallerUse>();
     const perSecond = MS_PER_SECOND / DEMAND_SMOOTHING_MS;
     for (const [caller, state] of this.byCaller) {
       this.refill(state, now);
       const {requests, tokens} = state.buckets;
-      uses.set(caller, {
-        requests: requests.asked * perSecond,
-        tokens: tokens.asked * perSecond,
+      demands.set(caller, {
+        requests: requests.demand * perSecond,
+        tokens: tokens.demand * perSecond,
         concurrent: state.concurrent,
       });
     }
-    return uses;
+    return demands;
   }
 
   /**
-   * Takes what a caller asks of all other entries together, as of some time ago.
+   * Applies the demand of a caller at all other entries, which may be delayed.
    *
-   * @param caller - The caller.
-   * @param others - The sum over the other entries.
-   * @param now - Milliseconds.
+   * @param caller - Name of the caller.
+   * @param others - Sum over the other entries.
+   * @param now - Current time, in milliseconds.
    */
   learn(caller: string, others: CallerUse, now: number): void {
     const state = this.byCaller.get(caller);
     if (state === undefined) return;
     this.refill(state, now);
     const perSecond = MS_PER_SECOND / DEMAND_SMOOTHING_MS;
-    const own = state.buckets.requests.asked * perSecond;
+    const own = state.buckets.requests.demand * perSecond;
     state.share = this.shareOf(own, others.requests);
     state.concurrentShare = this.shareOf(state.concurrent, others.concurrent);
   }
 
-  /** An equal part for everyone, the rest by use. */
+  /** Divides a fixed fraction equally and the rest by demand. */
   private shareOf(own: number, others: number): number {
     const equal = 1 / this.entryCount;
-    const all = own + others;
-    const byUse = all > 0 ? own / all : equal;
-    return EQUAL_PART * equal + (1 - EQUAL_PART) * byUse;
+    const total = own + others;
+    const byDemand = total > 0 ? own / total : equal;
+    return EQUAL_FRACTION * equal + (1 - EQUAL_FRACTION) * byDemand;
   }
 
   private refill(state: CallerState, now: number): void {
     const elapsed = Math.max(0, now - state.updatedAt);
     state.updatedAt = now;
     const seconds = elapsed / MS_PER_SECOND;
-    const keep = Math.exp(-elapsed / DEMAND_SMOOTHING_MS);
+    const decayFactor = Math.exp(-elapsed / DEMAND_SMOOTHING_MS);
     const {spec, buckets, share} = state;
-    fill(buckets.requests, spec.requestsPerSecond * share, spec, seconds);
-    fill(buckets.tokens, spec.tokensPerSecond * share, spec, seconds);
-    buckets.requests.asked *= keep;
-    buckets.tokens.asked *= keep;
+    refillBucket(
+      buckets.requests,
+      spec.requestsPerSecond * share,
+      spec,
+      seconds,
+    );
+    refillBucket(buckets.tokens, spec.tokensPerSecond * share, spec, seconds);
+    buckets.requests.demand *= decayFactor;
+    buckets.tokens.demand *= decayFactor;
   }
 }
 
-function fill(
+function refillBucket(
   bucket: Bucket,
   rate: number,
   spec: LimitSpec,
   seconds: number,
 ): void {
-  const most = Math.max(MIN_BURST, rate * spec.burstSeconds);
-  bucket.level = Math.min(most, bucket.level + rate * seconds);
+  const maxLevel = Math.max(MIN_BURST, rate * spec.burstSeconds);
+  bucket.level = Math.min(maxLevel, bucket.level + rate * seconds);
 }
 
-function waitMs({spec, share, buckets}: CallerState): number {
+function retryDelayMs({spec, share, buckets}: CallerState): number {
   const requests = -buckets.requests.level / (spec.requestsPerSecond * share);
   const tokens = -buckets.tokens.level / (spec.tokensPerSecond * share);
   return Math.ceil(Math.max(0, requests, tokens) * MS_PER_SECOND);
 }
 
-function limited(message: string, retryAfterMs: number): Refusal {
+function rateLimited(message: string, retryAfterMs: number): Refusal {
   return notRun('rate-limited', message, Math.max(1, retryAfterMs));
 }
--- a/packages/core/src/lib/process/clock.ts
+++ b/packages/core/src/lib/process/clock.ts
@@ -1,23 +1,25 @@
 /**
- * Time as the decisions see it. Production passes {@link SYSTEM_CLOCK}; tests
- * pass a virtual clock, so that no decision depends on the wall.
+ * Time source for the decision logic. Production passes {@link SYSTEM_CLOCK};
+ * tests pass a virtual clock, so that no decision depends on real time.
  */
 
 /** A source of time and timers. */
 export interface Clock {
-  /** Milliseconds since an arbitrary origin that never goes back. */
+  /** Monotonic time in milliseconds since an arbitrary origin. */
   now(): number;
-  /** Milliseconds since the Unix epoch, for people and for stored rows. */
+  /** Milliseconds since the Unix epoch, for display and for stored rows. */
   wallTime(): number;
   /**
-   * Calls `callback` once, after `delayMs`.
+   * Calls `callback` once, after `delayMs` milliseconds.
    *
    * @returns A disposable that cancels the call.
    */
   after(delayMs: number, callback: () => void): Disposable;
 }
 
-/** The clock of the operating system. Its timers do not keep a process up. */
+/**
+ * The clock of the operating system. Its timers do not keep the process alive.
+ */
 export const SYSTEM_CLOCK: Clock = {
   now: () => performance.now(),
   wallTime: () => Date.now(),
@@ -32,9 +34,10 @@
  * Waits on a clock.
  *
  * @param clock - The clock to wait on.
- * @param delayMs - How long, in milliseconds.
+ * @param delayMs - Delay in milliseconds.
  * @param signal - Ends the wait early when aborted.
- * @returns Resolves after the delay or on abort; never rejects.
+ * @returns A promise that resolves after the delay or on abort; it never
+ *     rejects.
  */
 export function sleep(
   clock: Clock,
@@ -57,13 +60,13 @@
 }
 
 /**
- * Calls `task` again and again, each time `periodMs` after the last call has
- * settled, so that a slow call never overlaps itself.
+ * Calls `task` repeatedly, each time `periodMs` after the previous call has
+ * settled, so that calls never overlap.
  *
  * @param clock - The clock to wait on.
- * @param periodMs - The pause between calls, in milliseconds.
- * @param task - What to do; it reports its own errors as values.
- * @returns A disposable that ends the repetition.
+ * @param periodMs - Pause between calls, in milliseconds.
+ * @param task - The task. It must handle its own errors and not reject.
+ * @returns A disposable that stops the repetition.
  */
 export function repeat(
   clock: Clock,
--- a/packages/core/src/lib/process/disposable_store.ts
+++ b/packages/core/src/lib/process/disposable_store.ts
@@ -1,19 +1,19 @@
 /**
- * Ownership and clean-up: what a component holds is gathered in one store and
- * released together, last first. Node.js 20 has `Symbol.dispose` but no
- * `DisposableStack`.
+ * Ownership of resources: a component adds what it owns to one store, which is
+ * disposed of as a whole in reverse order. Replaces `DisposableStack`, which
+ * Node.js 20 lacks although it has `Symbol.dispose`.
  */
 
-/** A set of disposables that is released as one. */
+/** A set of disposables that is disposed of as one. */
 export class DisposableStore implements Disposable {
   private readonly held: Disposable[] = [];
   private released = false;
 
   /**
-   * Takes ownership of a disposable. A store that is already released releases
-   * it at once, so that a late arrival does not leak.
+   * Takes ownership of a disposable. A store that is already disposed disposes
+   * of it at once, so that an item added late does not leak.
    *
-   * @param item - What to own.
+   * @param item - The disposable to own.
    * @returns The same item.
    */
   add<T extends Disposable>(item: T): T {
@@ -25,18 +25,18 @@
   /**
    * Takes ownership of a clean-up function.
    *
-   * @param cleanUp - Called once, on release.
+   * @param cleanUp - Called once, when the store is disposed of.
    */
   defer(cleanUp: () => void): void {
     this.add({[Symbol.dispose]: cleanUp});
   }
 
-  /** Whether the store was released. */
+  /** Whether the store has been disposed of. */
   get disposed(): boolean {
     return this.released;
   }
 
-  /** Releases all that is held, last first. Releasing twice does nothing. */
+  /** Disposes of all items in reverse order. Further calls do nothing. */
   [Symbol.dispose](): void {
     if (this.released) return;
     this.released = true;
--- a/packages/core/src/lib/process/freshness_lease.ts
+++ b/packages/core/src/lib/process/freshness_lease.ts
@@ -1,85 +1,101 @@
 /**
- * Whether what this host knows is recent enough to act by.
+ * Lease that determines whether the configuration of this host is recent enough
+ * to act on.
  *
- * Answers a withdrawn key that goes on being served at a host which does not hear of
- * it: cut off, turned away by the store, or frozen and woken again. The right to act
- * is a lease: it is renewed only by an answer of the store that shows the newest
- * version, and counted from before the question, since a change may have been made
- * while the answer was on its way.
+ * Guards against a revoked key that is still accepted by a host which has not
+ * received the revocation because it is partitioned, refused by the store, or
+ * was suspended and resumed. The lease is renewed only by a store response that
+ * shows the latest version. It is counted from before the request, since a
+ * change may be committed while the response is in transit.
  *
- * A clock may stand still while the host does, and the time of day may jump: the time
- * that has passed is the longest that any of several clocks shows.
+ * A clock may stop while the host is suspended, and the time of day may jump.
+ * The elapsed time is therefore the maximum over several clocks.
  */
 import type {Clock} from './clock.js';
 
-/** Readings of several clocks, in milliseconds, always in the same order. */
+/** Readings of several clocks in milliseconds, always in the same order. */
 export type ClockReadings = readonly number[];
 
 /**
- * @param clock - Of this host.
- * @returns Its steady clock, which may not count a suspension, and the time of day.
+ * @param clock - Clock of this host.
+ * @returns The monotonic clock, which may not count a suspension, and the time
+ *     of day.
  */
 export function readClocks(clock: Clock): ClockReadings {
   return [clock.now(), clock.wallTime()];
 }
 
-/** A question to the store that is under way. */
+/** A store request in flight that can renew the lease. */
 export interface FreshnessQuestion {
-  readonly askedAt: ClockReadings;
-  /** The newest version that the store had shown until then. */
-  readonly leastVersion: number;
+  readonly startedAt: ClockReadings;
+  /** Latest version that the store had shown before the request. */
+  readonly minVersion: number;
 }
 
-/** What a {@link FreshnessLease} needs. */
+/** Dependencies of a {@link FreshnessLease}. */
 export interface FreshnessContext {
-  /** @returns The clocks now. */
+  /** @returns The current clock readings. */
   readonly readClocks: () => ClockReadings;
-  /** @returns The newest version that any answer of the store has shown. */
+  /** @returns The latest version that any store response has shown. */
   readonly newestVersion: () => number;
-  /** @returns How long an answer counts, in milliseconds; undefined: for ever. */
+  /**
+   * @returns The length of the lease in milliseconds; undefined if it never
+   *     expires.
+   */
   readonly leaseMs: () => number | undefined;
 }
 
 /** The lease of one host. */
 export class FreshnessLease {
-  private provenAt: ClockReadings | undefined;
+  private renewedAt: ClockReadings | undefined;
 
-  /** @param context - Clocks, and how long the lease is. */
+  /** @param context - Clocks, store version and length of the lease. */
   constructor(private readonly context: FreshnessContext) {}
 
-  /** @returns What {@link prove} has to be called with; taken before asking. */
+  /**
+   * @returns The argument for {@link prove}; to be taken before the store
+   *     request is sent.
+   */
   ask(): FreshnessQuestion {
     const {readClocks, newestVersion} = this.context;
-    return {askedAt: readClocks(), leastVersion: newestVersion()};
+    return {startedAt: readClocks(), minVersion: newestVersion()};
   }
 
   /**
-   * Guards against an answer out of a store's past: it shows a version below one that
-   * was seen before the question, and proves nothing.
+   * Renews the lease with a store response. A response with a version below the
+   * one that was seen before the request is stale and does not renew the lease.
    *
-   * @param question - What was asked.
-   * @param version - The store's newest version, as the answer has it.
-   * @returns Whether the answer renewed the lease.
+   * @param renewal - The request, as returned by {@link ask}.
+   * @param version - Latest version of the store according to the response.
+   * @returns Whether the lease was renewed.
    */
-  prove({askedAt, leastVersion}: FreshnessQuestion, version: number): boolean {
+  prove(
+    {startedAt: askedAt, minVersion: leastVersion}: FreshnessQuestion,
+    version: number,
+  ): boolean {
     if (version < leastVersion) return false;
-    // Answers may overtake each other: what was asked later counts.
-    const isLater = !this.provenAt || askedAt[0]! >= this.provenAt[0]!;
-    if (isLater) this.provenAt = askedAt;
-    return isLater;
+    // Responses may arrive out of order: the latest request counts.
+    const isNewer = !this.renewedAt || askedAt[0]! >= this.renewedAt[0]!;
+    if (isNewer) this.renewedAt = askedAt;
+    return isNewer;
   }
 
-  /** For how long nothing is known, in milliseconds. */
+  /**
+   * Time since the start of the last renewal in milliseconds; infinite before
+   * the first one.
+   */
   get ageMs(): number {
-    const {provenAt} = this;
+    const {renewedAt: provenAt} = this;
     if (!provenAt) return Infinity;
-    const passed = this.context
+    const elapsed = this.context
       .readClocks()
       .map((now, i) => now - provenAt[i]!);
-    return Math.max(...passed);
+    return Math.max(...elapsed);
   }
 
-  /** Whether this host may act by what it knows. */
+  /**
+   * Whether the lease is valid, so that this host may act on its configuration.
+   */
   get isValid(): boolean {
     const leaseMs = this.context.leaseMs();
     return leaseMs === undefined || this.ageMs <= leaseMs;
--- a/packages/core/src/lib/process/hash.ts
+++ b/packages/core/src/lib/process/hash.ts
@@ -1,6 +1,6 @@
 /**
- * Hashing for placement and fingerprints: fast, stable across hosts and
- * versions, not for secrets.
+ * Hash functions for placement and fingerprints: fast, and stable across hosts
+ * and versions. They are not cryptographic.
  */
 import xxhash from 'xxhash-wasm';
 
@@ -10,12 +10,12 @@
 let h64ToString: HashFunctions['h64ToString'];
 
 /**
- * Resolves when the functions of this module can be called, which are compiled in
- * another thread. Who imports the module as it is has waited for them.
+ * Resolves when the functions of this module can be called; their WebAssembly
+ * is compiled asynchronously. Importing the unbundled module waits for it.
  *
- * Guards against a bundled program that ends with "h64ToString is not a function" at
- * its first request: a bundler may start the modules that a module re-exports and
- * not wait for them. A program waits for this before it serves.
+ * Guards against a bundled program that fails at its first request with
+ * "h64ToString is not a function": a bundler may start re-exported modules
+ * without awaiting them. A program must await this promise before it serves.
  */
 export const hashesReady: Promise<void> = xxhash().then(functions => {
   ({h32, h64ToString} = functions);
@@ -24,7 +24,7 @@
 await hashesReady;
 
 /**
- * @param text - What to hash.
+ * @param text - Text to hash.
  * @returns An unsigned 32-bit hash.
  */
 export function hash32(text: string): number {
@@ -32,7 +32,7 @@
 }
 
 /**
- * @param text - What to hash.
+ * @param text - Text to hash.
  * @returns A 64-bit hash as 16 hexadecimal digits.
  */
 export function fingerprint(text: string): string {
@@ -40,11 +40,11 @@
 }
 
 /**
- * Rendezvous hashing: the order of preference of `names` for `key`. Taking a
- * name away moves only the keys that preferred it.
+ * Rendezvous hashing: orders `names` by preference for `key`. Removing a name
+ * moves only the keys that preferred it.
  *
- * @param key - What is to be placed.
- * @param names - Where it can be placed.
+ * @param key - Key to be placed.
+ * @param names - Candidates for the placement.
  * @returns The names, most preferred first.
  */
 export function rendezvous(
@@ -52,21 +52,22 @@
   names: readonly string[],
 ): readonly string[] {
   return names
-    .map(name => ranked(key, name))
-    .sort(byRank)
+    .map(name => rankName(key, name))
+    .sort(compareRanks)
     .map(({name}) => name);
 }
 
 /**
- * Whether a name is among the first that {@link rendezvous} would give. It
- * stops at the first names that come before, so it costs some hashes where the
- * whole order costs one for each name.
+ * Tests whether a name is among the first `count` names of {@link rendezvous}.
+ * It stops as soon as `count` names rank higher, so it usually computes fewer
+ * hashes than the complete order, which takes one for each name.
  *
- * @param count - How many count as first.
- * @param key - What is to be placed.
- * @param name - The name in question, one of `names`.
- * @param names - Where it can be placed.
- * @returns Whether it is one of the first.
+ * @param count - Number of names that are considered.
+ * @param key - Key to be placed.
+ * @param name - The name to test.
+ * @param names - Candidates for the placement.
+ * @returns Whether the name is one of `names` and ranks among the first
+ *     `count`.
  */
 export function ranksWithin(
   count: number,
@@ -74,12 +75,12 @@
   name: string,
   names: readonly string[],
 ): boolean {
-  const own = ranked(key, name);
-  let before = 0;
+  const own = rankName(key, name);
+  let higherRanked = 0;
   for (const other of names) {
-    if (other === name || byRank(ranked(key, other), own) > 0) continue;
-    before++;
-    if (before === count) return false;
+    if (other === name || compareRanks(rankName(key, other), own) > 0) continue;
+    higherRanked++;
+    if (higherRanked === count) return false;
   }
   return names.includes(name);
 }
@@ -89,10 +90,10 @@
   readonly score: number;
 }
 
-function ranked(key: string, name: string): RankedName {
+function rankName(key: string, name: string): RankedName {
   return {name, score: h32(`${key}\n${name}`) >>> 0};
 }
 
-function byRank(a: RankedName, b: RankedName): number {
+function compareRanks(a: RankedName, b: RankedName): number {
   return b.score - a.score || (a.name < b.name ? -1 : 1);
 }
--- a/packages/core/src/lib/process/outcome.ts
+++ b/packages/core/src/lib/process/outcome.ts
@@ -1,6 +1,6 @@
 /**
- * Outcomes as values: a call that can fail says so in its type. Only broken
- * invariants throw.
+ * Results as values: a call that can fail declares so in its return type. Only
+ * violated invariants throw.
  */
 
 /** Success with a value, or failure with a typed error. */
@@ -9,7 +9,7 @@
   | {readonly ok: false; readonly err: E};
 
 /**
- * @param value - The value to carry.
+ * @param value - Value of the result.
  * @returns A success.
  */
 export function success<T>(value: T): {readonly ok: true; readonly value: T} {
@@ -17,24 +17,24 @@
 }
 
 /**
- * @param err - The error to carry.
+ * @param err - Error of the result.
  * @returns A failure.
  */
 export function failure<E>(err: E): {readonly ok: false; readonly err: E} {
   return {ok: false, err};
 }
 
-/** Thrown when the program itself is wrong; it stops the process. */
+/** Thrown on a programming error; it terminates the process. */
 export class InvariantError extends Error {
   override readonly name = 'InvariantError';
 }
 
 /**
- * Stops the process when an invariant is broken.
+ * Asserts an invariant.
  *
- * @param condition - What must hold.
- * @param message - What it means when it does not.
- * @throws InvariantError when `condition` is false.
+ * @param condition - The condition that must hold.
+ * @param message - Describes the violation.
+ * @throws InvariantError if `condition` is false.
  */
 export function invariant(
   condition: unknown,
--- a/packages/core/src/lib/process/quota_bucket.ts
+++ b/packages/core/src/lib/process/quota_bucket.ts
@@ -1,124 +1,133 @@
 /**
- * How much of its quota a client account has left.
+ * Token bucket for the request quota of one client account.
  *
- * Answers an account that sends many times its usual: what is within the quota runs,
- * the rest is refused at once and told when there is room.
+ * Guards against an account that sends many times its usual rate: requests
+ * within the quota run, the others are refused at once with the time after
+ * which to retry.
  */
 import type {RequestQuota} from '../version/client_account.js';
 
 const MS_PER_SECOND = 1000;
 
-/** How exactly quotas are kept. */
+/** Tolerances within which quotas are enforced. */
 export interface QuotaTolerance {
-  /** A quota holds in each span of this length, in milliseconds. */
+  /** A quota holds in each window of this length, in milliseconds. */
   readonly windowMs: number;
-  /** By which share of what a window allows it may be exceeded. */
+  /** Fraction of a window's quota by which it may be exceeded. */
   readonly overage: number;
-  /** By how many requests in a window it may be exceeded besides. */
+  /** Number of requests per window by which it may be exceeded in addition. */
   readonly slack: number;
 }
 
 /**
- * Parts of the tolerance, as shares of it. While hosts can't ask who counts, that one
- * grants them nothing: with up to half of the hosts out of touch, or the one that
- * counts lost and started anew, all parts together are one tolerance.
+ * Fractions of the tolerance by purpose. A host that cannot reach the counting
+ * host is granted nothing by it. Therefore, with up to half of the hosts
+ * unreachable, or with the counting host lost and replaced, all parts together
+ * stay within one tolerance.
  */
-const PART = {
-  /** Beside the burst, so that chance does not refuse what is within the quota. */
+const TOLERANCE_FRACTIONS = {
+  /**
+   * On top of the burst, so that random variation of the arrivals does not
+   * refuse requests within the quota.
+   */
   burst: 0.25,
-  /** What a host begins with that knows nothing of what ran before. */
+  /** Initial level at a host that has no record of earlier requests. */
   start: 0.25,
-  /** For all hosts together if none could ask, half of it at once. */
+  /**
+   * For all hosts together if none can reach the counting host; half of it is
+   * available at once.
+   */
   outOfTouch: 1,
 } as const;
 
-/** What a part of the tolerance is for. */
-export type TolerancePart = keyof typeof PART;
+/** Purpose of a part of the tolerance. */
+export type TolerancePart = keyof typeof TOLERANCE_FRACTIONS;
 
 /**
- * @param quota - Of an account.
- * @param tolerance - How exactly it is kept.
- * @param part - What for.
- * @returns Requests in a window beyond the quota.
+ * @param quota - Quota of the account.
+ * @param tolerance - Tolerance within which it is enforced.
+ * @param part - Purpose that the requests are for.
+ * @returns The number of requests per window that are allowed beyond the quota.
  */
-export function tolerated(
+export function toleratedExcess(
   {perSecond, burst}: RequestQuota,
   {windowMs, overage, slack}: QuotaTolerance,
   part: TolerancePart,
 ): number {
-  const inWindow = (perSecond * windowMs) / MS_PER_SECOND + burst;
-  return (inWindow * overage + slack) * PART[part];
+  const perWindow = (perSecond * windowMs) / MS_PER_SECOND + burst;
+  return (perWindow * overage + slack) * TOLERANCE_FRACTIONS[part];
 }
 
-/** What came of asking for a request of an account. */
+/** Decision on one request of an account. */
 export type QuotaVerdict =
   | {readonly kind: 'granted'}
-  /** Beyond the quota; there is room after `waitMs`. */
+  /** Quota exceeded; capacity is available after `waitMs` milliseconds. */
   | {readonly kind: 'over'; readonly waitMs: number};
 
 const GRANTED: QuotaVerdict = {kind: 'granted'};
 
-/** The requests that an account has saved up, at the host that counts them. */
+/** The requests that an account may still send, kept at its counting host. */
 export class QuotaBucket {
   private level: number;
-  /** Returns that were promised and have not come due, as times. */
-  private promised: readonly number[] = [];
+  /** Times of the scheduled retries that are still to come, in milliseconds. */
+  private scheduledRetries: readonly number[] = [];
 
   /**
-   * @param now - A steady clock, in milliseconds.
-   * @param level - What it begins with, in requests.
+   * @param refilledAt - Creation time on a monotonic clock, in milliseconds.
+   * @param level - Initial level, in requests.
    */
   constructor(
-    private filledAt: number,
+    private refilledAt: number,
     level: number,
   ) {
     this.level = level;
   }
 
   /**
-   * Takes one request, if there is room.
+   * Takes one request from the bucket if the level permits.
    *
-   * @param quota - What is allowed now.
-   * @param tolerance - How exactly.
-   * @param now - A steady clock, in milliseconds.
+   * @param quota - Current quota of the account.
+   * @param tolerance - Tolerance within which it is enforced.
+   * @param now - Time on a monotonic clock, in milliseconds.
+   * @returns The decision, with the time to wait before a retry if refused.
    */
   take(
     quota: RequestQuota,
     tolerance: QuotaTolerance,
     now: number,
   ): QuotaVerdict {
-    this.fill(quota, tolerance, now);
+    this.refill(quota, tolerance, now);
     if (this.level >= 1) {
       this.level -= 1;
       return GRANTED;
     }
-    return {kind: 'over', waitMs: this.promise(quota, now)};
+    return {kind: 'over', waitMs: this.scheduleRetry(quota, now)};
   }
 
-  /** Gives back a request that did not run. */
-  giveBack(): void {
+  /** Refunds a request that did not run. */
+  refund(): void {
     this.level += 1;
   }
 
-  private fill(
+  private refill(
     quota: RequestQuota,
     tolerance: QuotaTolerance,
     now: number,
   ): void {
-    const passedMs = Math.max(0, now - this.filledAt);
-    this.filledAt = now;
-    const most = quota.burst + tolerated(quota, tolerance, 'burst');
-    const gained = (quota.perSecond * passedMs) / MS_PER_SECOND;
-    this.level = Math.min(Math.max(most, 1), this.level + gained);
+    const elapsedMs = Math.max(0, now - this.refilledAt);
+    this.refilledAt = now;
+    const maxLevel = quota.burst + toleratedExcess(quota, tolerance, 'burst');
+    const gained = (quota.perSecond * elapsedMs) / MS_PER_SECOND;
+    this.level = Math.min(Math.max(maxLevel, 1), this.level + gained);
   }
 
-  /** Each caller that is told to come back gets a moment of its own. */
-  private promise({perSecond}: RequestQuota, now: number): number {
-    this.promised = this.promised.filter(at => at > now);
-    const before = this.promised.length;
-    const missing = 1 - this.level + before;
+  /** Schedules a retry; each refused request gets a separate time. */
+  private scheduleRetry({perSecond}: RequestQuota, now: number): number {
+    this.scheduledRetries = this.scheduledRetries.filter(at => at > now);
+    const earlierRetries = this.scheduledRetries.length;
+    const missing = 1 - this.level + earlierRetries;
     const waitMs = Math.ceil((missing / perSecond) * MS_PER_SECOND);
-    this.promised = [...this.promised, now + waitMs];
+    this.scheduledRetries = [...this.scheduledRetries, now + waitMs];
     return waitMs;
   }
 }
--- a/packages/core/src/lib/process/quota_keeper.ts
+++ b/packages/core/src/lib/process/quota_keeper.ts
@@ -1,30 +1,37 @@
-/** Counts the requests of those client accounts that this host counts for all. */
+/**
+ * Enforces the quotas of the client accounts that this host counts on behalf of
+ * all hosts.
+ */
 import type {RequestQuota} from '../version/client_account.js';
 import {
   QuotaBucket,
-  tolerated,
+  toleratedExcess,
   type QuotaTolerance,
   type QuotaVerdict,
 } from './quota_bucket.js';
 
-/** Accounts that are kept without a request, in milliseconds: a bucket is full then. */
-const IDLE_MS = 60_000;
-/** How often idle accounts are looked for, in milliseconds. */
-const SWEEP_MS = 10_000;
+/**
+ * Time after which an unused bucket is removed, in milliseconds. The bucket is
+ * full by then.
+ */
+const IDLE_TIMEOUT_MS = 60_000;
+/** Interval between removals of unused buckets, in milliseconds. */
+const SWEEP_INTERVAL_MS = 10_000;
 
 interface CountedAccount {
   readonly bucket: QuotaBucket;
-  askedAt: number;
+  lastUsedAt: number;
 }
 
-/** Buckets by account. */
+/** Token buckets by account. */
 export class QuotaKeeper {
   private readonly accounts = new Map<string, CountedAccount>();
   private sweptAt = -Infinity;
 
   /**
-   * @param tolerance - How exactly quotas are kept now.
-   * @param since - From when on this host counts, on a steady clock in milliseconds.
+   * @param tolerance - Returns the current tolerance of quotas.
+   * @param since - Time since which this host counts, on a monotonic clock in
+   *     milliseconds.
    */
   constructor(
     private readonly tolerance: () => QuotaTolerance,
@@ -32,28 +39,29 @@
   ) {}
 
   /**
-   * @param account - Its name.
-   * @param quota - What is allowed now.
-   * @param now - A steady clock, in milliseconds.
-   * @returns Whether one more of its requests may run.
+   * @param account - Name of the account.
+   * @param quota - Current quota of the account.
+   * @param now - Time on a monotonic clock, in milliseconds.
+   * @returns The decision on one more request of the account.
    */
   take(account: string, quota: RequestQuota, now: number): QuotaVerdict {
     const tolerance = this.tolerance();
-    const counted = this.of(account, quota, now);
-    counted.askedAt = now;
+    const counted = this.accountFor(account, quota, now);
+    counted.lastUsedAt = now;
     return counted.bucket.take(quota, tolerance, now);
   }
 
-  /** @param account - One of its requests did not run. */
+  /** @param account - Name of an account, one of whose requests did not run. */
   giveBack(account: string): void {
-    this.accounts.get(account)?.bucket.giveBack();
+    this.accounts.get(account)?.bucket.refund();
   }
 
   /**
-   * Other accounts are this host's from now on.
+   * Applies a new assignment of accounts to counting hosts.
    *
-   * @param counts - Whether this host still counts an account; others are forgotten.
-   * @param now - A steady clock, in milliseconds.
+   * @param counts - Whether this host counts an account; the buckets of others
+   *     are removed.
+   * @param now - Time on a monotonic clock, in milliseconds.
    */
   retain(counts: (account: string) => boolean, now: number): void {
     this.since = now;
@@ -61,25 +69,32 @@
       if (!counts(account)) this.accounts.delete(account);
   }
 
-  private of(
+  private accountFor(
     account: string,
     quota: RequestQuota,
     now: number,
   ): CountedAccount {
     this.sweep(now);
-    const known = this.accounts.get(account);
-    if (known) return known;
-    // What ran before at another host is not known: not the whole burst again.
-    const level = Math.max(1, tolerated(quota, this.tolerance(), 'start'));
-    const counted = {bucket: new QuotaBucket(this.since, level), askedAt: now};
+    const existing = this.accounts.get(account);
+    if (existing) return existing;
+    // Requests counted earlier by another host are unknown; starting with the
+    // full burst could grant it twice.
+    const level = Math.max(
+      1,
+      toleratedExcess(quota, this.tolerance(), 'start'),
+    );
+    const counted = {
+      bucket: new QuotaBucket(this.since, level),
+      lastUsedAt: now,
+    };
     this.accounts.set(account, counted);
     return counted;
   }
 
   private sweep(now: number): void {
-    if (now - this.sweptAt < SWEEP_MS) return;
+    if (now - this.sweptAt < SWEEP_INTERVAL_MS) return;
     this.sweptAt = now;
-    for (const [name, {askedAt}] of this.accounts)
-      if (now - askedAt > IDLE_MS) this.accounts.delete(name);
+    for (const [name, {lastUsedAt}] of this.accounts)
+      if (now - lastUsedAt > IDLE_TIMEOUT_MS) this.accounts.delete(name);
   }
 }
--- a/packages/core/src/lib/process/quota_reserve.ts
+++ b/packages/core/src/lib/process/quota_reserve.ts
@@ -1,55 +1,72 @@
 /**
- * What a host lets through of an account whose count it can't ask for.
+ * Requests that a host admits for an account whose counting host it cannot
+ * reach.
  *
- * Guards against a cut that refuses all of an account's requests, and against one
- * that lets each host count a whole quota for itself: all hosts out of touch together
- * use a part of the tolerance, each an equal share of it.
+ * Guards against a network partition that refuses all requests of an account,
+ * and against one in which each host grants the whole quota. All unreachable
+ * hosts together use a part of the tolerance, each an equal share of it.
  */
 import type {RequestQuota} from '../version/client_account.js';
 import type {Random} from './random.js';
-import {tolerated, type QuotaTolerance} from './quota_bucket.js';
+import {toleratedExcess, type QuotaTolerance} from './quota_bucket.js';
 
-/** What a {@link QuotaReserve} goes by. */
-export interface ReserveView {
+/** Inputs of a {@link QuotaReserve}. */
+export interface ReserveContext {
   readonly quota: RequestQuota;
   readonly tolerance: QuotaTolerance;
-  /** Hosts that may be out of touch at the same time, this one included. */
+  /**
+   * Number of hosts, including this one, that may be unreachable at the same
+   * time.
+   */
   readonly hosts: number;
 }
 
 interface Reserve {
   level: number;
-  filledAt: number;
+  refilledAt: number;
 }
 
-/** The reserves of one host, by account. */
+/** Reserves of one host, by account. */
 export class QuotaReserve {
   private readonly reserves = new Map<string, Reserve>();
 
-  /** @param random - Shares of less than one request are drawn. */
+  /**
+   * @param random - Randomly rounds shares that are not a whole number of
+   *     requests.
+   */
   constructor(private readonly random: Random) {}
 
   /**
-   * @param account - Its name.
-   * @param view - Its quota, and who shares it.
-   * @param now - A steady clock, in milliseconds.
-   * @returns Whether one more of its requests may run without being counted.
+   * @param account - Name of the account.
+   * @param context - Quota of the account and the number of hosts that share
+   *     the reserve.
+   * @param now - Time on a monotonic clock, in milliseconds.
+   * @returns Whether one more request of the account may run without being
+   *     counted.
    */
-  take(account: string, view: ReserveView, now: number): boolean {
-    const {quota, tolerance, hosts} = view;
-    const inWindow = tolerated(quota, tolerance, 'outOfTouch') / hosts;
-    // Half of it in the beginning, and half over the length of a window.
-    const most = inWindow / 2;
-    const known = this.reserves.get(account) ?? this.first(most, now);
-    const gained = (most * (now - known.filledAt)) / tolerance.windowMs;
-    const level = Math.min(known.level + gained, most + 1);
-    const may = level >= 1;
-    this.reserves.set(account, {level: may ? level - 1 : level, filledAt: now});
-    return may;
+  take(account: string, context: ReserveContext, now: number): boolean {
+    const {quota, tolerance, hosts} = context;
+    const perWindow = toleratedExcess(quota, tolerance, 'outOfTouch') / hosts;
+    // Half of the share is available at once, and half accrues over a window.
+    const halfShare = perWindow / 2;
+    const reserve =
+      this.reserves.get(account) ?? this.initialReserve(halfShare, now);
+    const gained =
+      (halfShare * (now - reserve.refilledAt)) / tolerance.windowMs;
+    const level = Math.min(reserve.level + gained, halfShare + 1);
+    const granted = level >= 1;
+    this.reserves.set(account, {
+      level: granted ? level - 1 : level,
+      refilledAt: now,
+    });
+    return granted;
   }
 
-  /** A share of 0.4 requests is one request at 0.4 of the hosts. */
-  private first(most: number, now: number): Reserve {
-    return {level: most + this.random.float(), filledAt: now};
+  /**
+   * Rounds randomly: a share of 0.4 requests is one request at 40 % of the
+   * hosts.
+   */
+  private initialReserve(halfShare: number, now: number): Reserve {
+    return {level: halfShare + this.random.float(), refilledAt: now};
   }
 }
--- a/packages/core/src/lib/process/random.ts
+++ b/packages/core/src/lib/process/random.ts
@@ -1,17 +1,18 @@
 /**
- * Randomness as the decisions see it: seeded, so that a run can be repeated.
+ * Randomness for the decision logic. It is seeded, so that runs are
+ * reproducible.
  */
 import {uniformFloat64} from 'pure-rand/distribution/uniformFloat64';
 import {uniformInt} from 'pure-rand/distribution/uniformInt';
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 
-/** A source of random numbers and of unique names. */
+/** A source of random numbers and unique IDs. */
 export interface Random {
-  /** A number from 0 (included) to 1 (excluded). */
+  /** @returns A number from 0 (inclusive) to 1 (exclusive). */
   float(): number;
-  /** A whole number from 0 to `below - 1`. */
+  /** @returns An integer from 0 to `below - 1`. */
   int(below: number): number;
-  /** A name of 16 hexadecimal digits, unique for all practical purposes. */
+  /** @returns An ID of 16 random hexadecimal digits, unique in practice. */
   id(): string;
 }
 
@@ -19,7 +20,7 @@
 const UINT32_MAX = 0xffffffff;
 
 /**
- * @param seed - A whole number; the same seed gives the same sequence.
+ * @param seed - An integer; the same seed gives the same sequence.
  * @returns A seeded source of randomness.
  */
 export function seededRandom(seed: number): Random {
@@ -33,7 +34,7 @@
   };
 }
 
-/** Draws a seed from the system's own randomness. @returns A whole number. */
+/** @returns An integer seed from the system's random number generator. */
 export function systemSeed(): number {
   return crypto.getRandomValues(new Uint32Array(1))[0]! | 0;
 }
--- a/packages/core/src/lib/process/return_times.ts
+++ b/packages/core/src/lib/process/return_times.ts
@@ -1,80 +1,100 @@
 /**
- * When a caller that is turned away should come back.
+ * Computes when a caller whose request was refused should retry.
  *
- * Answers bursts that last longer than a short wait: a caller told to come back
- * in a moment comes back into the same burst and is turned away for good, as it
- * tries again once. A place is expected when the overload is over. Overloads are
- * taken to last as long as the last few did; one that lasts longer, or is the
- * first, as long again as it has lasted. Returns that were promised already
- * are spread behind each other at the rate at which places get free, so that they
- * do not make the next burst.
+ * Guards against bursts that outlast a short delay: a caller that retries once,
+ * after a fixed short delay, meets the same burst and is refused for good. A
+ * free slot is therefore expected only when the overload is over. An overload
+ * is assumed to last as long as the longest of the last few. One that has
+ * lasted longer, or is the first, is assumed to continue for as long as it has
+ * lasted. Retries that are already scheduled are spaced at the rate at which
+ * slots become free, so that they do not cause the next burst.
  */
 import type {Random} from './random.js';
 
-/** What the time of a return goes by. */
-export interface ReturnView {
-  /** How long a run takes, in milliseconds; undefined: not known. */
+/** Inputs for the time of a retry. */
+export interface RetryContext {
+  /** Duration of a run in milliseconds; undefined if unknown. */
   readonly runMs: number | undefined;
-  /** Slots of all targets of the service. */
+  /** Total number of slots of all targets of the service. */
   readonly slots: number;
-  /** Hosts that promise places there, this one included. */
+  /** Number of hosts, including this one, that schedule retries there. */
   readonly hosts: number;
-  /** The latest return that the caller agrees to, in milliseconds from now. */
+  /** Latest retry that the caller accepts, in milliseconds from now. */
   readonly latestMs: number;
 }
 
-/** An overload is over when nobody was refused for so long, in milliseconds. With
- * many hosts each refuses few, and a shorter pause would be a matter of chance. */
-const CALM_MS = 1000;
-/** Overloads whose length counts; the longest of them does. */
+/**
+ * Time without a refusal after which an overload counts as over, in
+ * milliseconds. With many hosts each refuses few requests, so a shorter
+ * interval would end an overload by chance.
+ */
+const OVERLOAD_END_MS = 1000;
+/**
+ * Number of past overloads whose duration is remembered; the longest counts.
+ */
 const REMEMBERED_OVERLOADS = 3;
-/** How much longer an overload is expected to last, as a share of how long it has
- * lasted, when it is longer than those before it. */
-const LONGER_SHARE = 1;
-/** Share of the places that get free which are promised: callers that come for
- * the first time need the others. */
-const PROMISED_SHARE = 0.5;
-/** Until a run's length is known, in milliseconds: a place gets free with the end
- * of a run, and a shorter pause gains nothing for a request of a second. */
-const FIRST_RUN_MS = 500;
+/**
+ * Expected further duration of an overload that outlasts the previous ones,
+ * relative to its duration so far.
+ */
+const EXTENSION_RATIO = 1;
+/**
+ * Fraction of the free slots that are assigned to retries; the others are left
+ * for new requests.
+ */
+const RETRY_SLOT_FRACTION = 0.5;
+/**
+ * Assumed run duration in milliseconds while the real one is unknown. A slot
+ * becomes free at the end of a run, and a shorter delay gains nothing for a
+ * request of one second.
+ */
+const DEFAULT_RUN_MS = 500;
 
 interface Overload {
   readonly startedAt: number;
   lastRefusalAt: number;
 }
 
-/** Keeps what one host has promised for one service. */
+/** Retry schedule of one host for one service. */
 export class ReturnTimes {
-  private readonly lengths: number[] = [];
+  private readonly durationsMs: number[] = [];
   private overload: Overload | undefined;
-  private promised: number[] = [];
+  private scheduledRetries: number[] = [];
 
-  /** @param random - Keeps hosts from promising the same moments. */
+  /**
+   * @param random - Adds jitter, so that hosts do not schedule retries for the
+   *     same time.
+   */
   constructor(private readonly random: Random) {}
 
   /**
-   * @param now - A steady clock, in milliseconds.
-   * @param view - The service, and how long the caller waits.
-   * @returns In how many milliseconds the caller should come back.
+   * Schedules the retry of a refused request.
+   *
+   * @param now - Time on a monotonic clock, in milliseconds.
+   * @param context - The service, and how long the caller waits.
+   * @returns The delay after which the caller should retry, in milliseconds.
    */
-  refuse(now: number, view: ReturnView): number {
+  refuse(now: number, context: RetryContext): number {
     const overload = this.overloadAt(now);
-    const runMs = view.runMs ?? FIRST_RUN_MS;
-    const lastedMs = now - overload.startedAt;
-    const restMs = Math.max(this.restMs(lastedMs), runMs);
-    this.promised = this.promised.filter(at => at > now);
+    const runMs = context.runMs ?? DEFAULT_RUN_MS;
+    const elapsedMs = now - overload.startedAt;
+    const remainingMs = Math.max(this.remainingMs(elapsedMs), runMs);
+    this.scheduledRetries = this.scheduledRetries.filter(at => at > now);
     const spacingMs =
-      (runMs * Math.max(1, view.hosts)) /
-      (Math.max(1, view.slots) * PROMISED_SHARE);
-    const place = this.promised.length + this.random.float();
-    const inMs = Math.min(restMs + place * spacingMs, view.latestMs);
-    this.promised.push(now + inMs);
-    return Math.round(inMs);
+      (runMs * Math.max(1, context.hosts)) /
+      (Math.max(1, context.slots) * RETRY_SLOT_FRACTION);
+    const position = this.scheduledRetries.length + this.random.float();
+    const delayMs = Math.min(
+      remainingMs + position * spacingMs,
+      context.latestMs,
+    );
+    this.scheduledRetries.push(now + delayMs);
+    return Math.round(delayMs);
   }
 
   private overloadAt(now: number): Overload {
     const known = this.overload;
-    if (known && now - known.lastRefusalAt <= CALM_MS) {
+    if (known && now - known.lastRefusalAt <= OVERLOAD_END_MS) {
       known.lastRefusalAt = now;
       return known;
     }
@@ -83,13 +103,14 @@
     return this.overload;
   }
 
-  private remember(lengthMs: number): void {
-    this.lengths.push(lengthMs);
-    if (this.lengths.length > REMEMBERED_OVERLOADS) this.lengths.shift();
+  private remember(durationMs: number): void {
+    this.durationsMs.push(durationMs);
+    if (this.durationsMs.length > REMEMBERED_OVERLOADS)
+      this.durationsMs.shift();
   }
 
-  private restMs(lastedMs: number): number {
-    const expectedMs = Math.max(0, ...this.lengths) - lastedMs;
-    return Math.max(expectedMs, lastedMs * LONGER_SHARE);
+  private remainingMs(elapsedMs: number): number {
+    const expectedMs = Math.max(0, ...this.durationsMs) - elapsedMs;
+    return Math.max(expectedMs, elapsedMs * EXTENSION_RATIO);
   }
 }
--- a/packages/core/src/lib/process/share_lease_machine.ts
+++ b/packages/core/src/lib/process/share_lease_machine.ts
@@ -1,32 +1,32 @@
 /**
- * The life of one share of work at one entry, apart from all input and output.
+ * State machine of one share of the batch work at one entry, free of I/O.
  *
- * Only `held` allows new work. `handingOver` may still record what it has.
- * `suspended` may do neither: the entry's lease has run out by its own clock,
- * and another may or may not have taken the share.
+ * Only `held` allows new work. In `handingOver` the entry may still record the
+ * outcomes of work in progress. In `suspended` it may do neither: its lease has
+ * expired by its own clock, and another entry may have taken the share.
  */
 import {setup, transition} from 'xstate';
 import {memoizedStep} from './memoized_step.js';
 
-/** Each state of a share at one entry. */
+/** States of a share at one entry. */
 export type ShareLeaseState = 'absent' | 'held' | 'handingOver' | 'suspended';
 
-/** What happens to a share at one entry. */
+/** Events of a share at one entry. */
 export type ShareLeaseEvent =
   /** The stored rows name this entry as owner, and its lease is valid. */
   | {readonly type: 'grant'}
-  /** The entry's lease has run out by its own clock. */
+  /** The entry's lease has expired by its own clock. */
   | {readonly type: 'lapse'}
   /** The lease was renewed, and the share's row still names this entry. */
   | {readonly type: 'renew'}
-  /** The share is to go to another entry. */
+  /** A handover of the share to another entry begins. */
   | {readonly type: 'handOver'}
-  /** The hand-over did not take place. */
+  /** The handover was abandoned. */
   | {readonly type: 'keep'}
   /** The stored rows name another owner, or a later epoch. */
   | {readonly type: 'revoke'};
 
-/** The machine of one share at one entry. */
+/** State machine of one share at one entry. */
 export const SHARE_LEASE_MACHINE = setup({
   types: {events: {} as ShareLeaseEvent},
 }).createMachine({
@@ -45,9 +45,9 @@
 });
 
 /**
- * @param state - State of a share at this entry.
- * @param event - What happens to it.
- * @returns The state after it; the same when the event means nothing there.
+ * @param state - Current state of a share at this entry.
+ * @param event - The event to apply.
+ * @returns The next state; unchanged if the event has no transition.
  */
 export const nextShareLeaseState = memoizedStep<
   ShareLeaseState,
--- a/packages/core/src/test/process/caller_limits_test.ts
+++ b/packages/core/src/test/process/caller_limits_test.ts
@@ -10,7 +10,7 @@
   burstSeconds: 2,
 };
 
-test('lets a burst through, then the declared rate', t => {
+test('admits a burst, then the declared rate', t => {
   const limits = new CallerLimits(1);
   limits.declare('bank-a', SPEC, 0);
   let passed = 0;
@@ -22,7 +22,7 @@
   t.true(passed >= 115 && passed <= 121, `${passed} requests`);
 });
 
-test('refuses as not run, and says when to ask again', t => {
+test('refuses as not run, with the delay before a retry', t => {
   const limits = new CallerLimits(1);
   limits.declare('bank-a', SPEC, 0);
   t.is(limits.begin('bank-a', 30_000, 0), undefined);
@@ -35,7 +35,7 @@
   t.is(limits.begin('bank-a', 1, 1001), undefined);
 });
 
-test('entries that hear of each other late share by what is asked of them', t => {
+test('entries with delayed reports of each other share by demand', t => {
   const entries = [new CallerLimits(2), new CallerLimits(2)];
   const passed = [0, 0];
   for (const entry of entries) entry.declare('bank-a', SPEC, 0);
@@ -54,10 +54,10 @@
     told = entries.map(entry => entry.use(now).get('bank-a')!);
   }
   const rate = passed[0]! / 60;
-  t.true(rate > 9 && rate < 10.5, `${rate} a second of 10`);
+  t.true(rate > 9 && rate < 10.5, `${rate} requests per second, limit 10`);
 });
 
-test('many entries with less than one request each keep to the limit', t => {
+test('many entries with shares below one request stay within the limit', t => {
   const count = 340;
   const entries = Array.from({length: count}, () => new CallerLimits(count));
   for (const entry of entries) entry.declare('bank-a', SPEC, 0);
@@ -72,7 +72,7 @@
   t.true(passed <= most && passed >= 0.9 * 120 * 10, `${passed} requests`);
 });
 
-test('bounds requests at once and lets unlimited callers pass', t => {
+test('limits concurrent requests and admits callers without limits', t => {
   const limits = new CallerLimits(1);
   limits.declare('bank-a', SPEC, 0);
   for (let i = 0; i < 4; i++) t.is(limits.begin('bank-a', 1, 0), undefined);
--- a/packages/core/src/test/process/disposable_store_test.ts
+++ b/packages/core/src/test/process/disposable_store_test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import {DisposableStore} from '../../lib/process/disposable_store.js';
 
-test('releases what it holds, last first, once', t => {
+test('disposes of its items once, in reverse order', t => {
   const store = new DisposableStore();
   const released: string[] = [];
   store.defer(() => released.push('first'));
@@ -11,7 +11,7 @@
   t.deepEqual(released, ['second', 'first']);
 });
 
-test('releases at once what comes after the release', t => {
+test('disposes at once of an item that is added after disposal', t => {
   const store = new DisposableStore();
   store[Symbol.dispose]();
   let released = false;
--- a/packages/core/src/test/process/freshness_lease_test.ts
+++ b/packages/core/src/test/process/freshness_lease_test.ts
@@ -6,20 +6,23 @@
 } from '../../lib/process/freshness_lease.js';
 
 const LEASE_MS = 3000;
-/** The time in which a withdrawn key may be served is longer by so much. */
-const MOST_SET_BACK_MS = 2000;
+/**
+ * Largest amount by which the clock is set back; a revoked key may be accepted
+ * for this much longer than the lease.
+ */
+const MAX_SET_BACK_MS = 2000;
 
-/** Clocks that go on together, or stand still one by one. */
+/** Clocks that advance together, or of which one stops. */
 class Clocks {
-  private steady = 0;
+  private monotonic = 0;
   private wall = 1_000_000;
 
   read(): ClockReadings {
-    return [this.steady, this.wall];
+    return [this.monotonic, this.wall];
   }
 
-  pass(ms: number): void {
-    this.steady += ms;
+  advance(ms: number): void {
+    this.monotonic += ms;
     this.suspend(ms);
   }
 
@@ -42,26 +45,28 @@
   return {lease, store};
 }
 
-test('nothing is known before the first answer', t => {
+test('the lease is invalid before the first response', t => {
   const {lease} = newLease(new Clocks());
   t.false(lease.isValid);
   t.is(lease.ageMs, Infinity);
 });
 
-// A key is withdrawn while an answer is on its way, and served for a lease after it.
-test('the lease counts from before the question', t => {
+// A key is revoked while a response is in transit. A lease counted from the
+// response would accept the key for its full length after that.
+test('the lease counts from before the request', t => {
   const clocks = new Clocks();
   const {lease} = newLease(clocks);
   const question = lease.ask();
-  clocks.pass(LEASE_MS - 1);
+  clocks.advance(LEASE_MS - 1);
   lease.prove(question, 1);
   t.true(lease.isValid);
-  clocks.pass(2);
+  clocks.advance(2);
   t.false(lease.isValid);
 });
 
-// A machine is suspended and woken: its steady clock has not counted that time.
-test('the lease runs out while the steady clock stands still', t => {
+// A machine is suspended and resumed; its monotonic clock has not counted that
+// time.
+test('the lease expires while the monotonic clock stands still', t => {
   const clocks = new Clocks();
   const {lease} = newLease(clocks);
   lease.prove(lease.ask(), 1);
@@ -69,18 +74,18 @@
   t.false(lease.isValid);
 });
 
-// The time of day is set back while a host does not hear from the store.
-test('no jump of the time of day prolongs the lease of a host that runs', t => {
+// The time of day is set back while a host is not connected to the store.
+test('setting the time of day back does not extend the lease of a running host', t => {
   const clocks = new Clocks();
   const {lease} = newLease(clocks);
   lease.prove(lease.ask(), 1);
-  clocks.pass(LEASE_MS + 1);
+  clocks.advance(LEASE_MS + 1);
   clocks.setTimeOfDay(-LEASE_MS * 2);
   t.false(lease.isValid);
 });
 
-// The store answers as of some seconds ago, and renews a lease by what was true then.
-test('an answer out of the past proves nothing', t => {
+// A store that lags by some seconds renews a lease with outdated data.
+test('a stale response does not renew the lease', t => {
   const clocks = new Clocks();
   const {lease, store} = newLease(clocks);
   store.newest = 20;
@@ -103,7 +108,7 @@
     }),
     fc.record({
       kind: fc.constant('jump' as const),
-      ms: fc.integer({min: -MOST_SET_BACK_MS, max: 6000}),
+      ms: fc.integer({min: -MAX_SET_BACK_MS, max: 6000}),
     }),
     fc.record({
       kind: fc.constantFrom('ask', 'ask', 'answer', 'lose', 'withdraw'),
@@ -112,23 +117,26 @@
   {maxLength: 40},
 );
 
-/** @returns The longest time for which a withdrawn key was served, in milliseconds. */
-function longestServed(
+/**
+ * @returns The longest time for which a revoked key was accepted, in
+ *     milliseconds.
+ */
+function longestAcceptance(
   steps: readonly Step[],
   countFrom: 'question' | 'answer',
 ) {
   const clocks = new Clocks();
   const {lease} = newLease(clocks);
   let trueMs = 0;
-  let withdrawnAt: number | undefined;
-  let knowsIt = false;
+  let revokedAt: number | undefined;
+  let knowsRevocation = false;
   let longest = 0;
   let setBack = false;
   let pending:
     {question: ReturnType<typeof lease.ask>; tells: boolean} | undefined;
   const act: Record<Step['kind'], (ms: number) => void> = {
     pass: ms => {
-      clocks.pass(ms);
+      clocks.advance(ms);
       trueMs += ms;
     },
     suspend: ms => {
@@ -136,18 +144,19 @@
       trueMs += ms;
     },
     jump: ms => {
-      // Set back once; it comes back to the true time by jumps ahead.
+      // The time of day is set back at most once; forward jumps bring it back
+      // to the true time.
       const back = Math.min(ms, 0);
       if (back < 0 && setBack) return;
       setBack ||= back < 0;
       clocks.setTimeOfDay(ms);
     },
     ask: () => {
-      pending = {question: lease.ask(), tells: withdrawnAt !== undefined};
+      pending = {question: lease.ask(), tells: revokedAt !== undefined};
     },
     answer: () => {
       if (!pending) return;
-      knowsIt ||= pending.tells;
+      knowsRevocation ||= pending.tells;
       const from = countFrom === 'question' ? pending.question : lease.ask();
       lease.prove(from, 1);
       pending = undefined;
@@ -156,29 +165,31 @@
       pending = undefined;
     },
     withdraw: () => {
-      withdrawnAt ??= trueMs;
+      revokedAt ??= trueMs;
     },
   };
   for (const step of steps) {
     act[step.kind]('ms' in step ? step.ms : 0);
-    const isServed = lease.isValid && !knowsIt && withdrawnAt !== undefined;
-    if (isServed) longest = Math.max(longest, trueMs - withdrawnAt!);
+    const isServed =
+      lease.isValid && !knowsRevocation && revokedAt !== undefined;
+    if (isServed) longest = Math.max(longest, trueMs - revokedAt!);
   }
   return longest;
 }
 
-test('whatever comes, a withdrawn key is served within its bound', t => {
+test('a revoked key is accepted no longer than its bound in any sequence', t => {
   const property = fc.property(STEPS, steps => {
-    const longest = longestServed(steps, 'question');
-    return longest <= LEASE_MS + MOST_SET_BACK_MS;
+    const longest = longestAcceptance(steps, 'question');
+    return longest <= LEASE_MS + MAX_SET_BACK_MS;
   });
   t.notThrows(() => fc.assert(property, {numRuns: 5000, seed: 11}));
 });
 
-// Shows that the check above can fail: a lease from the answer on is too long.
-test('the model finds a lease that counts from the answer', t => {
+// Shows that the property above can fail: a lease counted from the response is
+// too long.
+test('the property fails for a lease that counts from the response', t => {
   const property = fc.property(STEPS, steps => {
-    return longestServed(steps, 'answer') <= LEASE_MS + MOST_SET_BACK_MS;
+    return longestAcceptance(steps, 'answer') <= LEASE_MS + MAX_SET_BACK_MS;
   });
   t.throws(() => fc.assert(property, {numRuns: 5000, seed: 11}));
 });
--- a/packages/core/src/test/process/quota_bucket_test.ts
+++ b/packages/core/src/test/process/quota_bucket_test.ts
@@ -10,7 +10,10 @@
 const QUOTA = {perSecond: 10, burst: 5};
 const LENGTH_MS = 20_000;
 
-/** @returns When requests were granted that came every `gapMs`. */
+/**
+ * @returns The times at which requests were granted, of those sent every
+ *     `gapMs`.
+ */
 function grantedAt(
   gapMs: number,
   tolerance: QuotaTolerance,
@@ -23,32 +26,32 @@
   return granted;
 }
 
-function mostInWindow(times: readonly number[], windowMs: number): number {
+function maxInWindow(times: readonly number[], windowMs: number): number {
   const counts = times.map(
     from => times.filter(at => at >= from && at < from + windowMs).length,
   );
   return Math.max(0, ...counts);
 }
 
-test('no window has more than the quota and its tolerance', t => {
+test('no window exceeds the quota and its tolerance', t => {
   for (const tolerance of [EXACT, TOLERANCE]) {
     const {windowMs, overage, slack} = tolerance;
-    const most = mostInWindow(grantedAt(5, tolerance), windowMs);
+    const most = maxInWindow(grantedAt(5, tolerance), windowMs);
     const quota = QUOTA.perSecond * 5 + QUOTA.burst;
     t.true(most <= quota * (1 + overage) + slack, `${most}`);
     t.true(most >= QUOTA.perSecond * 5, `${most}`);
   }
 });
 
-test('what is within the quota is granted', t => {
+test('requests within the quota are granted', t => {
   const gapMs = 1000 / QUOTA.perSecond + 1;
   const all = Math.ceil(LENGTH_MS / gapMs);
-  // The first comes before anything was saved up.
+  // The first request arrives before the bucket has any tokens.
   t.true(grantedAt(gapMs, EXACT).length >= all - 1);
 });
 
-// All that were refused come back at the same moment and are refused again.
-test('a caller that comes back when it was told to finds room', t => {
+// If all refused requests are retried at the same time, they are refused again.
+test('a request that is retried at its scheduled time is granted', t => {
   const property = fc.property(fc.integer({min: 1, max: 30}), refused => {
     const bucket = new QuotaBucket(0, 0);
     const waits = [...Array(refused).keys()].map(() => {
