--- a/packages/core/src/lib/request/batch_item.ts
+++ b/packages/core/src/lib/request/batch_item.ts
@@ -1,4 +1,4 @@
-/** Items of batch jobs, between the keeper of jobs and the dispatcher. */
+/** Items of batch jobs, as passed from the batch worker to the dispatcher. */
 import type {Refusal} from './refusal.js';
 import type {Answer, Work} from './work.js';
 import type {Partial} from './serve.js';
@@ -10,38 +10,58 @@
   readonly item: string;
   readonly work: Work;
   readonly idempotent: boolean;
-  /** Counts from 1, over all holders. */
+  /**
+   * Number of the attempt, starting at 1 and counted across all lease holders.
+   */
   readonly attempt: number;
-  /** Was in flight when a target died: must run alone. */
+  /**
+   * Whether the item was in flight when a target died. It must run alone, since
+   * it may have caused the crash.
+   */
   readonly suspect?: boolean;
   readonly resume?: Partial;
 }
 
-/** How one attempt at an item ended. */
+/** Outcome of one attempt at an item. */
 export type ItemOutcome =
   | {readonly kind: 'done'; readonly answer: Answer}
-  /** Cannot be completed, now or later. */
+  /** The item cannot be completed, now or later. */
   | {readonly kind: 'failed'; readonly refusal: Refusal}
-  /** No engine has seen it, or it was given back: send it again. */
+  /** No engine has received the item, or it was preempted: it is sent again. */
   | {
       readonly kind: 'returned';
       readonly refusal?: Refusal;
       readonly partial?: Partial;
     }
-  /** It may have run. An idempotent item is sent again; another is unknown. */
+  /**
+   * The item may have run. If idempotent it is sent again, otherwise its
+   * outcome is unknown.
+   */
   | {
       readonly kind: 'lost';
       readonly refusal: Refusal;
-      /** The target died with it in flight. */
+      /** Whether the target died while the item was in flight. */
       readonly suspect: boolean;
     };
 
-/** Sends items to targets; given by the entry to the keeper of jobs. */
+/** Sends items to targets. The entry provides it to the batch worker. */
 export interface ItemRunner {
-  /** How many more items of a model or service the targets would take now. */
+  /**
+   * @param pool - Name of a model or service.
+   * @returns The number of further items that its targets can accept now.
+   */
   room(pool: string): number;
-  /** Calls back when room may have grown. */
+  /**
+   * @param callback - Called when the free capacity may have grown.
+   * @returns A disposable that removes the callback.
+   */
   onRoom(callback: () => void): Disposable;
-  /** Runs one attempt. Aborting cancels it at the target. */
+  /**
+   * Runs one attempt.
+   *
+   * @param item - The item to run.
+   * @param signal - Cancels the attempt at the target when aborted.
+   * @returns The outcome of the attempt.
+   */
   run(item: BatchItem, signal: AbortSignal): Promise<ItemOutcome>;
 }
--- a/packages/core/src/lib/request/item_machine.ts
+++ b/packages/core/src/lib/request/item_machine.ts
@@ -1,13 +1,14 @@
 /**
- * The life of one batch item, apart from all input and output.
+ * State machine of one batch item, free of I/O.
  *
- * A suspect was in flight when a target died. It waits to run alone, and fails
- * for good when a target dies with it again.
+ * A suspect is an item that was in flight when a target died, so it may have
+ * caused the crash. It waits to run alone, and fails for good if a target dies
+ * again while running it.
  */
 import {setup, transition} from 'xstate';
 import {memoizedStep} from '../process/memoized_step.js';
 
-/** Each state of an item; the last four are final. */
+/** States of an item; the last four are final. */
 export type ItemState =
   | 'waiting'
   | 'leased'
@@ -20,35 +21,37 @@
   | 'cancelled'
   | 'unknown';
 
-/** What happens to an item. */
+/** Events of an item. */
 export type ItemEvent =
-  /** Picked to be run by the holder of its share. */
+  /** Selected to be run by the holder of its share. */
   | {readonly type: 'lease'}
-  /** Picked, but not sent after all. */
+  /** Selected, but not sent. */
   | {readonly type: 'release'}
   /** About to be sent. */
   | {readonly type: 'start'}
   | {readonly type: 'complete'}
-  /** Can never be completed. */
+  /** The item can never be completed. */
   | {readonly type: 'fail'}
-  /** No engine has seen it, or it was given back. */
+  /** No engine has received it, or it was preempted. */
   | {readonly type: 'return'}
-  /** It may have run, and its outcome will not come. */
+  /** The item may have run, and its outcome will not be received. */
   | {
       readonly type: 'lose';
       readonly idempotent: boolean;
-      /** The target died with it in flight. */
+      /** Whether the target died while the item was in flight. */
       readonly suspect: boolean;
-      /** No further attempt is allowed. */
+      /** Whether no further attempt is allowed. */
       readonly last: boolean;
     }
-  /** Its holder died; the next holder found it recorded like this. */
+  /**
+   * Its lease holder died, and the next one found it in this recorded state.
+   */
   | {readonly type: 'orphan'; readonly idempotent: boolean}
   | {readonly type: 'cancel'; readonly idempotent: boolean};
 
 /**
- * The machine of one item. It has no context: what a guard needs is in the
- * event, so that one character holds an item's state.
+ * State machine of one item. It has no context: events carry what the guards
+ * need, so that one character can encode the state of an item.
  */
 export const ITEM_MACHINE = setup({
   types: {events: {} as ItemEvent},
@@ -125,17 +128,17 @@
 
 /**
  * @param state - State of an item.
- * @returns Whether its outcome stands for good.
+ * @returns Whether the state is final.
  */
 export function isFinalItemState(state: ItemState): boolean {
   return FINAL_STATES.has(state);
 }
 
 /**
- * @param state - State of an item.
- * @param event - What happens to it.
- * @returns The state after it; the same when the event means nothing there, as
- *     for every event after a final state.
+ * @param state - Current state of an item.
+ * @param event - The event to apply.
+ * @returns The next state; unchanged if the event has no transition, as for
+ *     every event in a final state.
  */
 export const nextItemState = memoizedStep<ItemState, ItemEvent>(
   (state, event) => {
--- a/packages/core/src/lib/request/job_machine.ts
+++ b/packages/core/src/lib/request/job_machine.ts
@@ -1,17 +1,17 @@
-/** The life of one accepted batch job, apart from all input and output. */
+/** State machine of one accepted batch job, free of I/O. */
 import {setup, transition} from 'xstate';
 import {memoizedStep} from '../process/memoized_step.js';
 
-/** Each state of an accepted job; the last two are final. */
+/** States of an accepted job; the last two are final. */
 export type JobState = 'open' | 'cancelling' | 'done' | 'cancelled';
 
-/** What happens to a job. */
+/** Events of a job. */
 export type JobEvent =
   | {readonly type: 'cancel'}
-  /** Every item has its outcome recorded. */
+  /** The outcomes of all items are recorded. */
   | {readonly type: 'close'};
 
-/** The machine of one job. */
+/** State machine of one job. */
 export const JOB_MACHINE = setup({
   types: {events: {} as JobEvent},
 }).createMachine({
@@ -26,9 +26,9 @@
 });
 
 /**
- * @param state - State of a job.
- * @param event - What happens to it.
- * @returns The state after it; the same when the event means nothing there.
+ * @param state - Current state of a job.
+ * @param event - The event to apply.
+ * @returns The next state; unchanged if the event has no transition.
  */
 export const nextJobState = memoizedStep<JobState, JobEvent>((state, event) => {
   const before = JOB_MACHINE.resolveState({value: state});
@@ -38,7 +38,7 @@
 
 /**
  * @param state - State of a job.
- * @returns Whether nothing about the job changes any more.
+ * @returns Whether the state is final, so that the job no longer changes.
  */
 export function isFinalJobState(state: JobState): boolean {
   return state === 'done' || state === 'cancelled';
--- a/packages/core/src/lib/request/refusal.ts
+++ b/packages/core/src/lib/request/refusal.ts
@@ -1,16 +1,17 @@
 /**
- * Why a request was not answered, and whether it may have run. A refusal is a
- * value on every hop, and typed JSON towards callers.
+ * Refusals: why a request was not answered, and whether it may have run. A
+ * refusal is passed as a value on every hop, and as typed JSON to callers.
  */
 
 /**
- * `not-run` is only said where no engine or service can have seen the request.
+ * Whether a refused request may have run. `not-run` is used only where no
+ * engine or service can have received the request.
  */
 export type Ran = 'not-run' | 'may-have-run';
 
-/** One thing that is wrong with what was sent. */
+/** One validation error in a request. */
 export interface Problem {
-  /** Where, as a path such as `items.3.maxTokens`. */
+  /** Location of the error, as a path such as `items.3.maxTokens`. */
   readonly path: string;
   readonly message: string;
 }
@@ -18,11 +19,11 @@
 interface RefusalBase {
   readonly message: string;
   readonly ran: Ran;
-  /** When asking again makes sense, in milliseconds from now. */
+  /** Delay after which a retry makes sense, in milliseconds. */
   readonly retryAfterMs?: number;
 }
 
-/** A refusal, told apart by `kind`. */
+/** A refusal, discriminated by `kind`. */
 export type Refusal = RefusalBase &
   (
     | {readonly kind: 'invalid-request'; readonly problems?: readonly Problem[]}
@@ -51,7 +52,7 @@
       }
   );
 
-/** Each way to refuse. */
+/** Kinds of refusal. */
 export type RefusalKind = Refusal['kind'];
 
 /** HTTP status of each kind of refusal. */
@@ -79,17 +80,17 @@
   'deadline-exceeded': 504,
 };
 
-/** Kinds that need no field beyond the common ones. */
+/** Kinds without additional fields. */
 export type PlainRefusalKind = Exclude<
   RefusalKind,
   'invalid-request' | 'revision-conflict'
 >;
 
 /**
- * @param kind - Why.
- * @param message - What to tell the caller.
- * @param retryAfterMs - When asking again makes sense, in milliseconds.
- * @returns A refusal of a request that no engine or service has seen.
+ * @param kind - Kind of the refusal.
+ * @param message - Explanation for the caller.
+ * @param retryAfterMs - Delay after which a retry makes sense, in milliseconds.
+ * @returns A refusal of a request that no engine or service has received.
  */
 export function notRun(
   kind: PlainRefusalKind,
@@ -105,8 +106,8 @@
 }
 
 /**
- * @param kind - Why.
- * @param message - What to tell the caller.
+ * @param kind - Kind of the refusal.
+ * @param message - Explanation for the caller.
  * @returns A refusal of a request that an engine or service may have run.
  */
 export function mayHaveRun(kind: PlainRefusalKind, message: string): Refusal {
--- a/packages/core/src/lib/request/retry_policy.ts
+++ b/packages/core/src/lib/request/retry_policy.ts
@@ -1,23 +1,24 @@
 /**
- * When a failed request is sent again: only where that is safe, while the
- * deadline allows it, never to the same target, and never more than a share of
- * all requests, so that an overload is not made worse by its own retries.
+ * Retry policy. A failed request is sent again only where that is safe, while
+ * the deadline permits, never to the same target, and only within a retry
+ * budget that is a fraction of all requests, so that retries do not amplify an
+ * overload.
  */
 import type {Refusal} from './refusal.js';
 
-/** How retries are bounded. */
+/** Limits of retries. */
 export interface RetryOptions {
-  /** Retries per request, over some time. */
+  /** Retries per request, as a long-term average. */
   readonly budgetShare: number;
-  /** Retries that may be saved up. */
+  /** Maximum number of retries that can accumulate. */
   readonly burst: number;
-  /** Attempts at one request, the first included. */
+  /** Maximum number of attempts at one request, including the first. */
   readonly maxAttempts: number;
-  /** Time that an attempt needs to make sense, in milliseconds. */
+  /** Minimum time to the deadline for another attempt, in milliseconds. */
   readonly minTimeLeftMs: number;
 }
 
-/** Retries add at most a tenth. */
+/** Default limits; retries add at most a tenth to the load. */
 export const DEFAULT_RETRY_OPTIONS: RetryOptions = {
   budgetShare: 0.1,
   burst: 10,
@@ -25,18 +26,18 @@
   minTimeLeftMs: 20,
 };
 
-/** What one request has been through. */
+/** State of one request after a failed attempt. */
 export interface AttemptState {
   readonly idempotent: boolean;
-  /** Attempts made. */
+  /** Number of attempts so far. */
   readonly attempts: number;
-  /** Tokens of it have been passed on to the caller. */
+  /** Whether tokens of the request have been forwarded to the caller. */
   readonly streamed: boolean;
-  /** Time left to its deadline, in milliseconds. */
+  /** Time to the deadline, in milliseconds. */
   readonly timeLeftMs: number;
 }
 
-/** What is to be done about a failed attempt. */
+/** Decision on a failed attempt. */
 export type RetryDecision =
   | {readonly retry: true}
   | {
@@ -44,8 +45,8 @@
       readonly why: 'final' | 'unsafe' | 'attempts' | 'deadline' | 'budget';
     };
 
-/** Refusals that another target may not share. */
-const WORTH_RETRYING: ReadonlySet<Refusal['kind']> = new Set([
+/** Kinds of refusal that another target may not return. */
+const RETRYABLE_KINDS: ReadonlySet<Refusal['kind']> = new Set([
   'overloaded',
   'no-target',
   'leaving',
@@ -55,43 +56,44 @@
   'internal',
 ]);
 
-/** A token bucket that fills with requests, not with time. */
+/** Token bucket that is filled by requests instead of by time. */
 export class RetryPolicy {
   private budget: number;
 
-  /** @param options - The bounds. */
+  /** @param options - Limits of retries. */
   constructor(private readonly options: RetryOptions = DEFAULT_RETRY_OPTIONS) {
     this.budget = options.burst;
   }
 
-  /** A request came in: it earns a share of a retry. */
+  /** Adds the budget that a new request earns. */
   requested(): void {
     const {budgetShare, burst} = this.options;
     this.budget = Math.min(burst, this.budget + budgetShare);
   }
 
   /**
-   * Decides about one failed attempt; a retry that it grants is paid for.
+   * Decides on one failed attempt. A granted retry is deducted from the budget.
    *
-   * @param refusal - How the attempt failed.
-   * @param state - What the request has been through.
-   * @returns Whether to send it again, to another target.
+   * @param refusal - Refusal of the failed attempt.
+   * @param state - State of the request.
+   * @returns Whether to send the request again, to another target.
    */
   decide(refusal: Refusal, state: AttemptState): RetryDecision {
-    const why = this.objection(refusal, state);
+    const why = this.denialReason(refusal, state);
     if (why !== undefined) return {retry: false, why};
     if (this.budget < 1) return {retry: false, why: 'budget'};
     this.budget -= 1;
     return {retry: true};
   }
 
-  private objection(
+  private denialReason(
     refusal: Refusal,
     state: AttemptState,
   ): 'final' | 'unsafe' | 'attempts' | 'deadline' | undefined {
-    if (!WORTH_RETRYING.has(refusal.kind)) return 'final';
-    // What may have run and is not idempotent could run twice; what was
-    // streamed in part would reach its caller with a second beginning.
+    if (!RETRYABLE_KINDS.has(refusal.kind)) return 'final';
+    // A request that may have run and is not idempotent could run twice. After
+    // part of the answer was streamed, a retry would send its beginning to the
+    // caller twice.
     const mayRunTwice = refusal.ran === 'may-have-run' && !state.idempotent;
     if (mayRunTwice || state.streamed) return 'unsafe';
     if (state.attempts >= this.options.maxAttempts) return 'attempts';
--- a/packages/core/src/lib/request/serve.ts
+++ b/packages/core/src/lib/request/serve.ts
@@ -1,15 +1,18 @@
-/** One request on its way from an entry to a target process, and back. */
+/** Messages of one request between an entry and a target process. */
 import type {Refusal} from './refusal.js';
 import type {Answer, FinishReason, Usage, Work} from './work.js';
 
-/** Online callers wait; batch work fills what they leave idle. */
+/**
+ * Priority class: callers wait for online requests; batch requests use the
+ * capacity that online requests leave free.
+ */
 export type ServeClass = 'online' | 'batch';
 
-/** What an entry asks of a target process. */
+/** Request from an entry to a target process. */
 export interface ServeRequest {
-  /** The same for every attempt at one request. */
+  /** ID of the request; the same for every attempt. */
   readonly id: string;
-  /** Counts from 1. */
+  /** Number of the attempt, starting at 1. */
   readonly attempt: number;
   readonly entryId: string;
   readonly caller: string;
@@ -17,57 +20,62 @@
   readonly work: Work;
   readonly idempotent: boolean;
   /**
-   * Names the outcome for good: `caller/key` of a keyed request,
-   * `job/item` of a batch item. A target process runs one such name once and
-   * gives a resend the same answer.
+   * Permanent name of the outcome: `caller/key` of a keyed request, `job/item`
+   * of a batch item. A target process runs each name once and answers repeated
+   * requests with the same result.
    */
   readonly dedupeKey?: string;
-  /** Time left when it was sent, in milliseconds. */
+  /** Time to the deadline when the request was sent, in milliseconds. */
   readonly timeoutMs: number;
   readonly promptTokens: number;
-  /** Tokens are wanted as they come; otherwise only the whole answer. */
+  /**
+   * Whether tokens are streamed; otherwise only the complete answer is sent.
+   */
   readonly stream: boolean;
-  /** Was in flight when a target died: must run alone. */
+  /**
+   * Whether the request was in flight when a target died. It must run alone,
+   * since it may have caused the crash.
+   */
   readonly suspect?: boolean;
-  /** Tokens that another target generated before it had to stop. */
+  /** Tokens that another target generated before the request was preempted. */
   readonly resume?: Partial;
   /** W3C trace context. */
   readonly traceparent?: string;
 }
 
-/** What was generated before a stream was given back. */
+/** Output that was generated before a request was preempted. */
 export interface Partial {
   readonly text: string;
   readonly tokens: number;
 }
 
-/** What a target process tells about a request, in this order. */
+/** Events of a request at a target process, in this order. */
 export type ServeEvent =
-  /** The engine is being handed the request: from here on it may have run. */
+  /** The request is being passed to the engine; from now on it may have run. */
   | {readonly kind: 'started'; readonly version: string}
-  /** `index` counts tokens from 0; a gap or overlap is a broken stream. */
+  /** `index` counts tokens from 0; a gap or overlap is a protocol error. */
   | {
       readonly kind: 'tokens';
       readonly index: number;
       readonly count: number;
       readonly text: string;
     }
-  /** The end of an answered request; `answer` is whole, also when streamed. */
+  /** End of an answered request; `answer` is complete, also when streamed. */
   | {readonly kind: 'done'; readonly answer: Answer}
-  /** The end of a batch request that was given back: resume it elsewhere. */
+  /** End of a batch request that was preempted and can be resumed elsewhere. */
   | {readonly kind: 'yielded'; readonly partial: Partial}
-  /** The end of a request that was not answered. */
+  /** End of a request that was not answered. */
   | {readonly kind: 'refused'; readonly refusal: Refusal};
 
-/** How one request ended, as the side that sent it sees it. */
+/** Outcome of one request, as seen by its sender. */
 export type ServeOutcome = Extract<
   ServeEvent,
   {readonly kind: 'done' | 'yielded' | 'refused'}
 >;
 
 /**
- * @param event - What a target process tells.
- * @returns Whether the request has ended with it.
+ * @param event - Event from a target process.
+ * @returns Whether the event is the last one of its request.
  */
 export function isFinal(event: ServeEvent): event is ServeOutcome {
   return event.kind !== 'started' && event.kind !== 'tokens';
--- a/packages/core/src/lib/request/target_request_machine.ts
+++ b/packages/core/src/lib/request/target_request_machine.ts
@@ -1,23 +1,23 @@
 /**
- * A request at the target process, as a pure machine. It is stepped on changes
- * of state only, never for each token.
+ * State machine of a request at a target process. The machine is pure, and
+ * makes a transition only on state changes, not for each token.
  */
 import {initialTransition, setup, transition} from 'xstate';
 import type {SnapshotFrom} from 'xstate';
 
-/** What can happen to a request at its target process. */
+/** Events of a request at its target process. */
 export type TargetRequestEvent =
-  /** It is being handed to the engine. */
+  /** The request is being passed to the engine. */
   | {readonly type: 'start'}
   | {readonly type: 'first-token'}
-  /** The engine must be free of it; its tokens are kept. */
+  /** The engine must stop running the request; its tokens are kept. */
   | {readonly type: 'preempt'}
-  /** The engine is free of it. */
+  /** The engine no longer runs the request. */
   | {readonly type: 'freed'}
-  /** It has its outcome. */
+  /** The outcome of the request is known. */
   | {readonly type: 'end'};
 
-/** The states of a request; an engine may have seen it in all but `waiting`. */
+/** States of a request; an engine may have received it in all but `waiting`. */
 export type TargetRequestState =
   'waiting' | 'started' | 'streaming' | 'preempting' | 'preempted' | 'ended';
 
@@ -32,7 +32,7 @@
       on: {
         'first-token': 'streaming',
         preempt: 'preempting',
-        // Only a piece of its prompt was to be prefilled.
+        // Only a chunk of its prompt was to be prefilled.
         freed: 'preempted',
         end: 'ended',
       },
@@ -44,7 +44,7 @@
   },
 });
 
-/** A request's state as the machine keeps it. */
+/** State of a request as kept by the machine. */
 export type TargetRequestSnapshot = SnapshotFrom<typeof MACHINE>;
 
 const INITIAL = initialTransition(MACHINE)[0];
@@ -55,9 +55,9 @@
 }
 
 /**
- * @param snapshot - The request so far.
- * @param event - What happened.
- * @returns The new snapshot; the same one when the event means nothing now.
+ * @param snapshot - Current snapshot of the request.
+ * @param event - The event to apply.
+ * @returns The new snapshot; the same object if the event has no transition.
  */
 export function stepTargetRequest(
   snapshot: TargetRequestSnapshot,
@@ -69,8 +69,9 @@
 }
 
 /**
- * @param state - The state of a request.
- * @returns Whether no engine can have seen it, so that "not run" is true.
+ * @param state - State of a request.
+ * @returns Whether no engine can have received the request, so that it can be
+ *     reported as not run.
  */
 export function isUnseen(state: TargetRequestState): boolean {
   return state === 'waiting';
--- a/packages/core/src/lib/request/waiting_places.ts
+++ b/packages/core/src/lib/request/waiting_places.ts
@@ -1,56 +1,74 @@
 /**
- * How many requests may wait for a slot of a target, and for how long a request
- * waits for a target that has a place.
+ * Limits of the queues: how many requests may wait for a slot of a target, and
+ * how long a request waits for a target with free capacity.
  *
- * Answers bursts beyond what the targets can take: a request joins a target's
- * queue only if its first byte is expected there inside its objective. One that
- * joins a longer queue is late, and makes all behind it late; refused at once it
- * can come back when there are places.
+ * Guards against bursts beyond the capacity of the targets: a request joins the
+ * queue of a target only if its first byte is expected within its latency
+ * objective. A request that joins a longer queue is late and delays all that
+ * follow. If it is refused at once instead, it can be retried when slots are
+ * free.
  */
 import type {ServicePace} from '../process/service_pace.js';
 
-/** What decides whether a request may wait. */
+/** Properties of a request that determine whether it may wait. */
 export interface WaitDemand {
-  /** Within which time the first byte earns its full worth, in milliseconds. */
+  /** Time within which the first byte has its full value, in milliseconds. */
   readonly goalMs: number;
-  /** 0 is the most urgent. */
+  /** Priority of the request; 0 is the most urgent. */
   readonly priority: number;
-  /** Whether its caller was turned away before: it should not be again while
-   * others that came later are taken. */
+  /**
+   * Whether the request is a retry after a refusal. It should not be refused
+   * again while requests that arrived later are admitted.
+   */
   readonly returning: boolean;
 }
 
-/** Share of the wait that an objective leaves which a queue may take. The rest is
- * for requests of other hosts that are not told yet: with loads 60 ms old, 0.7 in
- * place of 0.35 made 24 of 100 requests late in place of 15, on three targets of
- * eight slots in bursts of 65 requests a second (the load of the burst replay). */
-const GOAL_SHARE = 0.35;
-/** How much smaller that share is for each step of lower priority: what is less
- * urgent is refused first. */
-const GOAL_SHARE_STEP = 0.07;
-/** How much larger it is for a caller that comes back: without it 9 of 100
- * requests in place of 7 were refused for good (the burst replay). */
-const RETURNING_SHARE = 0.1;
-/** Share of the objective for which a request waits before it is refused. The
- * waiting requests of all hosts see the same free place and all take it: 0.05 in
- * place of 0.2 left 15 of 100 requests late in place of 20 (the burst replay). */
-const PATIENCE_SHARE = 0.05;
-/** The same for a caller that comes back, who does not come again. Within a
- * quarter of the objective a refusal counts as early. */
-const RETURNING_PATIENCE_SHARE = 0.2;
-/** Waiting requests as a share of the slots, and how much smaller it is by step,
- * while nothing is known of the service: an objective is rarely shorter than a
- * third of a run. */
-const FIRST_SHARE = 0.3;
-const FIRST_SHARE_STEP = 0.1;
-/** Priorities below this one are treated alike. */
+/**
+ * Fraction of the wait permitted by a latency objective that a queue may use.
+ * The rest is kept for requests of other hosts that are not reported yet: with
+ * loads 60 ms old, 0.7 instead of 0.35 made 24 instead of 15 of 100 requests
+ * late, on three targets with eight slots in bursts of 65 requests per second
+ * (the load of burst_replay_test).
+ */
+const QUEUE_WAIT_FRACTION = 0.35;
+/**
+ * Decrease of that fraction per step of lower priority, so that less urgent
+ * requests are refused first.
+ */
+const QUEUE_WAIT_FRACTION_STEP = 0.07;
+/**
+ * Increase of that fraction for a retry: without it 9 instead of 7 of 100
+ * requests were refused for good (burst_replay_test).
+ */
+const RETRY_QUEUE_WAIT_BONUS = 0.1;
+/**
+ * Fraction of the latency objective that a request waits before it is refused.
+ * The waiting requests of all hosts see the same free slot and all take it:
+ * 0.05 instead of 0.2 left 15 instead of 20 of 100 requests late
+ * (burst_replay_test).
+ */
+const MAX_WAIT_FRACTION = 0.05;
+/**
+ * The same for a retry, which is not retried again. A refusal within a quarter
+ * of the latency objective counts as early.
+ */
+const RETRY_MAX_WAIT_FRACTION = 0.2;
+/**
+ * Queue length as a fraction of the slots, and its decrease per step of lower
+ * priority, while the latency of the service is unknown. A latency objective is
+ * rarely shorter than a third of a run.
+ */
+const DEFAULT_QUEUE_FRACTION = 0.3;
+const DEFAULT_QUEUE_FRACTION_STEP = 0.1;
+/** Priorities lower than this one (larger numbers) are treated like it. */
 const LOWEST_PRIORITY = 4;
 
 /**
- * @param slots - How many requests the target runs at once.
+ * @param slots - Number of requests that the target runs at once.
  * @param demand - The request.
- * @param pace - How long requests of its service take; undefined: not known yet.
- * @returns How many requests, this one included, may wait there.
+ * @param pace - Observed latency of the service; undefined if unknown.
+ * @returns The maximum number of requests, including this one, that may wait
+ *     for the target.
  */
 export function waitingPlaces(
   slots: number,
@@ -58,20 +76,23 @@
   pace: ServicePace | undefined,
 ): number {
   const steps = Math.min(demand.priority, LOWEST_PRIORITY);
-  if (!pace) return Math.ceil(slots * (FIRST_SHARE - steps * FIRST_SHARE_STEP));
-  const share =
-    GOAL_SHARE -
-    steps * GOAL_SHARE_STEP +
-    (demand.returning ? RETURNING_SHARE : 0);
-  const waitMs = (demand.goalMs - pace.firstByteMs) * share;
-  // With n slots one gets free each n-th of a run.
+  if (!pace)
+    return Math.ceil(
+      slots * (DEFAULT_QUEUE_FRACTION - steps * DEFAULT_QUEUE_FRACTION_STEP),
+    );
+  const fraction =
+    QUEUE_WAIT_FRACTION -
+    steps * QUEUE_WAIT_FRACTION_STEP +
+    (demand.returning ? RETRY_QUEUE_WAIT_BONUS : 0);
+  const waitMs = (demand.goalMs - pace.firstByteMs) * fraction;
+  // With n slots, one becomes free every n-th part of a run.
   return Math.max(0, Math.floor((waitMs * slots) / pace.runMs));
 }
 
 /**
- * @param demand - A request for which no target has a place.
- * @returns How long it waits before it is refused, in milliseconds.
+ * @param demand - A request for which no target has free capacity.
+ * @returns The time that it waits before it is refused, in milliseconds.
  */
 export function patienceMs({goalMs, returning}: WaitDemand): number {
-  return goalMs * (returning ? RETURNING_PATIENCE_SHARE : PATIENCE_SHARE);
+  return goalMs * (returning ? RETRY_MAX_WAIT_FRACTION : MAX_WAIT_FRACTION);
 }
--- a/packages/core/src/lib/request/work_fingerprint.ts
+++ b/packages/core/src/lib/request/work_fingerprint.ts
@@ -1,21 +1,28 @@
-/** Names work by its content, alike at every entry and target process. */
+/**
+ * Identifies work by its content, with the same result at every entry and
+ * target process.
+ */
 import {fingerprint} from '../process/hash.js';
 import type {Completion, ServiceCall, Work} from './work.js';
 
 /**
- * Two requests with the same fingerprint ask for the same thing: suspects are
- * known by it, and a resend with another body is told by it.
+ * Computes the fingerprint of work. It identifies suspects, and detects a
+ * repeated request whose body has changed.
  *
- * @param work - What a caller wants done.
+ * @param work - Work that a caller requests.
  * @returns A 64-bit hash as 16 hexadecimal digits.
  */
 export function workFingerprint(work: Work): string {
-  const parts = work.kind === 'completion' ? partsOf(work) : callParts(work);
+  const parts =
+    work.kind === 'completion' ? completionParts(work) : callParts(work);
   return fingerprint(JSON.stringify(parts));
 }
 
-/** Fields in a fixed order: that of a parsed body depends on its sender. */
-function partsOf(work: Completion): readonly unknown[] {
+/**
+ * Lists the fields in a fixed order, since the order in a parsed body depends
+ * on its sender.
+ */
+function completionParts(work: Completion): readonly unknown[] {
   const {input} = work;
   const text =
     input.kind === 'prompt'
--- a/packages/core/src/test/fakes/burst_fleet.ts
+++ b/packages/core/src/test/fakes/burst_fleet.ts
@@ -1,7 +1,7 @@
 /**
- * Plays callers, hosts and targets in virtual time: bursts beyond what the targets
- * can take, callers that come back once when they are told to. Hosts know the
- * loads of all targets as they were a moment ago.
+ * Simulates callers, hosts and targets in virtual time: bursts beyond the
+ * capacity of the targets, and callers that retry once, when they are told to.
+ * Hosts know the loads of all targets as of the last load report.
  */
 import {
   PaceLearner,
@@ -11,39 +11,42 @@
   type WaitDemand,
 } from '../../index.js';
 
-/** The load that is played. */
+/** Parameters of the simulated load. */
 export interface BurstLoad {
   readonly seed: number;
   readonly hosts: number;
   readonly targets: number;
   readonly slots: number;
-  /** A run at a free slot, in milliseconds. */
+  /** Mean duration of a run, in milliseconds. */
   readonly runMs: number;
   readonly firstByteMs: number;
   readonly goalMs: number;
-  /** How long callers wait, in milliseconds. */
-  readonly patienceMs: number;
-  /** Arrivals a second in a burst and between bursts. */
+  /** Time after which a caller gives up, in milliseconds. */
+  readonly callerTimeoutMs: number;
+  /** Arrivals per second, in a burst and between bursts. */
   readonly burstRate: number;
   readonly calmRate: number;
-  /** A burst each so many milliseconds, for so long. */
+  /**
+   * Interval between the starts of bursts and length of a burst, in
+   * milliseconds.
+   */
   readonly periodMs: number;
   readonly burstMs: number;
   readonly lengthMs: number;
 }
 
-/** What is decided; one for each host. */
+/** Policy under test; each host has its own instance. */
 export interface BurstPolicy {
-  waitingPlaces(demand: WaitDemand, pace: ServicePace | undefined): number;
-  patienceMs(demand: WaitDemand): number;
+  maxQueueLength(demand: WaitDemand, pace: ServicePace | undefined): number;
+  maxQueueWaitMs(demand: WaitDemand): number;
   returnAfterMs(now: number, latestMs: number, runMs?: number): number;
 }
 
-/** What came of the requests. */
+/** Number of requests by outcome. */
 export interface BurstOutcome {
   requests: number;
   inTime: number;
-  inTimeOnReturn: number;
+  inTimeOnRetry: number;
   late: number;
   failed: number;
 }
@@ -51,8 +54,8 @@
 interface Caller {
   readonly arrivedAt: number;
   readonly returning: boolean;
-  /** When this try came. */
-  readonly cameAt: number;
+  /** Time at which the current attempt arrived, in milliseconds. */
+  readonly attemptedAt: number;
   readonly host: number;
 }
 
@@ -63,12 +66,18 @@
 }
 
 const STEP_MS = 5;
-const LOADS_AGE_MS = 60;
-const LATEST_RETURN_SHARE = 1 / 3;
-const SPREAD = 0.25;
+const REPORT_INTERVAL_MS = 60;
+const MAX_RETRY_DELAY_FRACTION = 1 / 3;
+const RUN_SPREAD = 0.25;
 
-/** Plays one load with one policy. */
-export function playBursts(
+/**
+ * Simulates one load with one policy.
+ *
+ * @param load - Parameters of the load.
+ * @param policyOf - Creates the policy of one host.
+ * @returns The number of requests by outcome.
+ */
+export function simulateBursts(
   load: BurstLoad,
   policyOf: (random: Random) => BurstPolicy,
 ): BurstOutcome {
@@ -79,12 +88,12 @@
   const outcome: BurstOutcome = {
     requests: 0,
     inTime: 0,
-    inTimeOnReturn: 0,
+    inTimeOnRetry: 0,
     late: 0,
     failed: 0,
   };
-  /** Runs by target and host, as they were when loads were told last. */
-  let told: ReadonlyArray<readonly number[]> = running.map(() => []);
+  /** Number of runs by target and host, as of the last load report. */
+  let reportedRuns: ReadonlyArray<readonly number[]> = running.map(() => []);
   let waiting: Caller[] = [];
   let returning: Caller[] = [];
 
@@ -93,39 +102,41 @@
     priority: 0,
     returning,
   });
-  const place = (caller: Caller, now: number): boolean => {
+  const tryStart = (caller: Caller, now: number): boolean => {
     const pace = learners[caller.host]!.pace;
     const demand = demandOf(caller);
-    const room =
-      load.slots + policies[caller.host]!.waitingPlaces(demand, pace);
-    // Half a request of chance, as hosts choose among equal targets.
+    const capacity =
+      load.slots + policies[caller.host]!.maxQueueLength(demand, pace);
+    // Up to half a request of jitter, as hosts select among equal targets.
     const scores = running.map(
       (runs, i) => loadSeenBy(caller.host, i, runs) + random.float() / 2,
     );
-    const least = Math.min(...scores);
-    if (Math.floor(least) >= room) return false;
-    const runs = running[scores.indexOf(least)]!;
-    const runMs = load.runMs * (1 + SPREAD * (2 * random.float() - 1));
+    const lowestScore = Math.min(...scores);
+    if (Math.floor(lowestScore) >= capacity) return false;
+    const runs = running[scores.indexOf(lowestScore)]!;
+    const runMs = load.runMs * (1 + RUN_SPREAD * (2 * random.float() - 1));
     const ends = runs
       .map(run => run.startsAt + run.runMs)
       .sort((a, b) => a - b);
-    const free = ends[ends.length - load.slots] ?? now;
-    const startsAt = Math.max(now, free);
+    const freeAt = ends[ends.length - load.slots] ?? now;
+    const startsAt = Math.max(now, freeAt);
     runs.push({caller, runMs, startsAt});
     if (startsAt === now)
       learners[caller.host]!.add({firstByteMs: load.firstByteMs, runMs});
-    settle(caller, startsAt + load.firstByteMs);
+    recordAnswer(caller, startsAt + load.firstByteMs);
     return true;
   };
   const countOf = (runs: readonly Run[], host: number) =>
     runs.filter(run => run.caller.host === host).length;
   const loadSeenBy = (host: number, target: number, runs: readonly Run[]) => {
-    const others = (told[target] ?? []).filter((count, i) => i !== host);
+    const others = (reportedRuns[target] ?? []).filter(
+      (count, i) => i !== host,
+    );
     return others.reduce((sum, count) => sum + count, countOf(runs, host));
   };
-  const settle = (caller: Caller, firstByteAt: number) => {
-    if (firstByteAt - caller.cameAt > load.goalMs) outcome.late++;
-    else if (caller.returning) outcome.inTimeOnReturn++;
+  const recordAnswer = (caller: Caller, firstByteAt: number) => {
+    if (firstByteAt - caller.attemptedAt > load.goalMs) outcome.late++;
+    else if (caller.returning) outcome.inTimeOnRetry++;
     else outcome.inTime++;
   };
   const refuse = (caller: Caller, now: number) => {
@@ -133,15 +144,20 @@
       outcome.failed++;
       return;
     }
-    const leftMs = load.patienceMs - (now - caller.arrivedAt);
+    const leftMs = load.callerTimeoutMs - (now - caller.arrivedAt);
     const {runMs} = learners[caller.host]!.pace ?? {};
-    const inMs = policies[caller.host]!.returnAfterMs(
+    const delayMs = policies[caller.host]!.returnAfterMs(
       now,
-      leftMs * LATEST_RETURN_SHARE,
+      leftMs * MAX_RETRY_DELAY_FRACTION,
       runMs,
     );
     const host = random.int(load.hosts);
-    returning.push({...caller, returning: true, cameAt: now + inMs, host});
+    returning.push({
+      ...caller,
+      returning: true,
+      attemptedAt: now + delayMs,
+      host,
+    });
   };
 
   for (let now = 0; now < load.lengthMs; now += STEP_MS) {
@@ -149,21 +165,24 @@
       const left = runs.filter(run => run.startsAt + run.runMs > now);
       runs.splice(0, runs.length, ...left);
     }
-    if (now % LOADS_AGE_MS === 0)
-      told = running.map(runs => policies.map((policy, i) => countOf(runs, i)));
+    if (now % REPORT_INTERVAL_MS === 0)
+      reportedRuns = running.map(runs =>
+        policies.map((policy, i) => countOf(runs, i)),
+      );
     const rate =
       now % load.periodMs < load.burstMs ? load.burstRate : load.calmRate;
     if (random.float() < (rate * STEP_MS) / 1000) {
       outcome.requests++;
       const host = random.int(load.hosts);
-      waiting.push({arrivedAt: now, returning: false, cameAt: now, host});
+      waiting.push({arrivedAt: now, returning: false, attemptedAt: now, host});
     }
-    waiting.push(...returning.filter(({cameAt}) => cameAt <= now));
-    returning = returning.filter(({cameAt}) => cameAt > now);
+    waiting.push(...returning.filter(({attemptedAt: cameAt}) => cameAt <= now));
+    returning = returning.filter(({attemptedAt: cameAt}) => cameAt > now);
     waiting = waiting.filter(caller => {
-      if (place(caller, now)) return false;
+      if (tryStart(caller, now)) return false;
       const policy = policies[caller.host]!;
-      const refuseAt = caller.cameAt + policy.patienceMs(demandOf(caller));
+      const refuseAt =
+        caller.attemptedAt + policy.maxQueueWaitMs(demandOf(caller));
       if (now < refuseAt) return true;
       refuse(caller, now);
       return false;
--- a/packages/core/src/test/request/item_machine_test.ts
+++ b/packages/core/src/test/request/item_machine_test.ts
@@ -46,7 +46,7 @@
 
 const SENT: readonly ItemEvent[] = [{type: 'lease'}, {type: 'start'}];
 
-test('an item is picked, sent and answered', t => {
+test('an item is selected, sent and answered', t => {
   t.is(run([...SENT, {type: 'complete'}]), 'done');
   t.is(run([...SENT, {type: 'fail'}]), 'failed');
   t.is(run([...SENT, {type: 'return'}]), 'waiting');
@@ -59,7 +59,7 @@
   }
 });
 
-test('what may not run twice never waits again after a loss', t => {
+test('an item that is not idempotent is never sent again after a loss', t => {
   for (const suspect of [true, false]) {
     for (const last of [true, false]) {
       t.is(run([...SENT, lose(false, suspect, last)]), 'unknown');
@@ -69,13 +69,13 @@
   t.is(run([...SENT, {type: 'cancel', idempotent: false}]), 'started');
 });
 
-test('what may run twice is sent again, until its last attempt', t => {
+test('an idempotent item is sent again until its last attempt', t => {
   t.is(run([...SENT, lose(true, false, false)]), 'waiting');
   t.is(run([...SENT, lose(true, false, true)]), 'failed');
   t.is(run([...SENT, {type: 'orphan', idempotent: true}]), 'waiting');
 });
 
-test('a suspect runs alone, is cleared by an answer, fails on a second', t => {
+test('a suspect runs alone, and fails if a target dies again', t => {
   const suspect = [...SENT, lose(true, true, false)];
   t.is(run(suspect), 'suspect');
   t.is(run([...suspect, ...SENT]), 'suspectStarted');
@@ -85,7 +85,7 @@
   t.is(run([...suspect, ...SENT, lose(true, true, false)]), 'failed');
 });
 
-test('whatever has not been sent can be cancelled', t => {
+test('an item that was not sent can be cancelled', t => {
   const unsent = ['waiting', 'leased', 'suspect', 'suspectLeased'] as const;
   for (const state of unsent) {
     const event = {type: 'cancel', idempotent: false} as const;
--- a/packages/core/src/test/request/retry_policy_test.ts
+++ b/packages/core/src/test/request/retry_policy_test.ts
@@ -9,10 +9,10 @@
   streamed: false,
   timeLeftMs: 5_000,
 };
-const OVERLOADED = notRun('overloaded', 'No room.');
-const LOST = mayHaveRun('target-lost', 'The connection broke.');
+const OVERLOADED = notRun('overloaded', 'No free capacity.');
+const LOST = mayHaveRun('target-lost', 'The connection was lost.');
 
-function whyNot(
+function denialReason(
   policy: RetryPolicy,
   ...args: Parameters<RetryPolicy['decide']>
 ) {
@@ -20,25 +20,25 @@
   return decision.retry ? undefined : decision.why;
 }
 
-test('sends again only what cannot run twice', t => {
+test('retries only requests that cannot run twice', t => {
   const once = {...FRESH, idempotent: false};
   const policy = new RetryPolicy();
   t.true(policy.decide(LOST, FRESH).retry);
   t.true(policy.decide(OVERLOADED, once).retry);
-  t.is(whyNot(policy, LOST, once), 'unsafe');
-  t.is(whyNot(policy, LOST, {...FRESH, streamed: true}), 'unsafe');
-  t.is(whyNot(policy, notRun('too-large', 'Too large.'), FRESH), 'final');
+  t.is(denialReason(policy, LOST, once), 'unsafe');
+  t.is(denialReason(policy, LOST, {...FRESH, streamed: true}), 'unsafe');
+  t.is(denialReason(policy, notRun('too-large', 'Too large.'), FRESH), 'final');
 });
 
-test('stops at the deadline and after some attempts', t => {
+test('stops at the deadline and at the maximum of attempts', t => {
   const policy = new RetryPolicy();
-  t.is(whyNot(policy, OVERLOADED, {...FRESH, timeLeftMs: 5}), 'deadline');
-  t.is(whyNot(policy, OVERLOADED, {...FRESH, attempts: 3}), 'attempts');
+  t.is(denialReason(policy, OVERLOADED, {...FRESH, timeLeftMs: 5}), 'deadline');
+  t.is(denialReason(policy, OVERLOADED, {...FRESH, attempts: 3}), 'attempts');
 });
 
-test('retries stay a share of the requests in an overload', t => {
+test('retries stay a fraction of the requests in an overload', t => {
   // All targets are full. Without a budget each request would be sent three
-  // times, and the overload would feed itself.
+  // times, and the retries would sustain the overload.
   const policy = new RetryPolicy();
   let retries = 0;
   for (let i = 0; i < 1000; i++) {
--- a/packages/core/src/test/request/target_request_machine_test.ts
+++ b/packages/core/src/test/request/target_request_machine_test.ts
@@ -17,14 +17,14 @@
   });
 }
 
-test('streams to its end, through a preemption', t => {
+test('runs to its end after a preemption', t => {
   t.deepEqual(
     statesOf('start', 'first-token', 'preempt', 'freed', 'start', 'end'),
     ['started', 'streaming', 'preempting', 'preempted', 'started', 'ended'],
   );
 });
 
-test('waits again once a piece of its prompt is prefilled', t => {
+test('waits again after a chunk of its prompt is prefilled', t => {
   t.deepEqual(statesOf('start', 'freed', 'start'), [
     'started',
     'preempted',
@@ -32,13 +32,13 @@
   ]);
 });
 
-test('only a request that never started is unseen', t => {
+test('only a request that never started is unseen by the engine', t => {
   t.true(isUnseen(initialTargetRequest().value as TargetRequestState));
   const states = statesOf('start', 'first-token', 'preempt', 'freed', 'end');
   t.false(states.some(isUnseen));
 });
 
-test('what means nothing now changes nothing', t => {
+test('an event without a transition changes nothing', t => {
   t.deepEqual(statesOf('freed', 'preempt', 'first-token'), [
     'waiting',
     'waiting',
--- a/packages/core/src/test/request/work_fingerprint_test.ts
+++ b/packages/core/src/test/request/work_fingerprint_test.ts
@@ -10,14 +10,14 @@
   stop: ['.'],
 };
 
-test('the same work has the same name, whatever the order of its fields', t => {
+test('the same work has the same fingerprint in any order of its fields', t => {
   const {stop, maxTokens, input, model, kind} = WORK;
   const input2 = {...input, messages: [{content: 'fair?', role: 'user'}]};
   const again = {stop, maxTokens, input: input2, model, kind} as Work;
   t.is(workFingerprint(again), workFingerprint(WORK));
 });
 
-test('other work has another name', t => {
+test('different work has a different fingerprint', t => {
   const others: Work[] = [
     {...WORK, maxTokens: 17},
     {...WORK, adapter: 'bank-a'},
