--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * The decisions of oathead, free of input and output: clocks and randomness are
- * passed in. What others embed.
+ * Decision logic of oathead, free of I/O: clocks and randomness are passed in
+ * by the caller. This package is the public API for embedding.
  *
  * @packageDocumentation
  */
--- a/packages/core/src/lib/version/client_account.ts
+++ b/packages/core/src/lib/version/client_account.ts
@@ -1,18 +1,18 @@
-/** What an operator says of a client account. */
+/** Client accounts as declared by the operator. */
 
-/** How many requests a client account may have run, over all hosts together. */
+/** Request rate that a client account is allowed over all hosts together. */
 export interface RequestQuota {
-  /** Requests a second in the long run. */
+  /** Sustained rate, in requests per second. */
   readonly perSecond: number;
-  /** How many more it may have saved up. */
+  /** Maximum number of unused requests that can accumulate. */
   readonly burst: number;
 }
 
 /** One client account in one version of the configuration. */
 export interface ClientAccount {
   readonly name: string;
-  /** 0 is the most urgent; undefined: that of the route counts. */
+  /** 0 is the most urgent; undefined if the priority of the route applies. */
   readonly priority: number | undefined;
-  /** Undefined: no limit. */
+  /** Undefined if the account is not limited. */
   readonly quota: RequestQuota | undefined;
 }
--- a/packages/core/src/lib/version/key_index.ts
+++ b/packages/core/src/lib/version/key_index.ts
@@ -1,13 +1,13 @@
-/** Finds what belongs to a key of which only a hash is kept. */
-import {hash as hashAtOnce, timingSafeEqual} from 'node:crypto';
+/** Finds the owner of an API key of which only the hash is stored. */
+import {hash as hashSync, timingSafeEqual} from 'node:crypto';
 
 interface KnownKey<T> {
   readonly hash: Buffer;
   readonly owner: T;
 }
 
-/** Two owners with one key. */
-export interface SharedKey<T> {
+/** Two owners that were declared with the same key. */
+export interface DuplicateKey<T> {
   readonly kind: 'shared-key';
   readonly owners: readonly [T, T];
 }
@@ -17,11 +17,13 @@
   private readonly byHash = new Map<string, KnownKey<T>>();
 
   /**
-   * @param hash - SHA-256 of a key, as hexadecimal digits.
-   * @param owner - Whose key it is.
-   * @returns Undefined, or who has the key already; it stays theirs.
+   * Adds a key. A key that already has another owner stays with that owner.
+   *
+   * @param hash - SHA-256 of a key, in hexadecimal.
+   * @param owner - Owner of the key.
+   * @returns The conflict if the key has another owner, otherwise undefined.
    */
-  add(hash: string, owner: T): SharedKey<T> | undefined {
+  add(hash: string, owner: T): DuplicateKey<T> | undefined {
     const digits = hash.toLowerCase();
     const known = this.byHash.get(digits);
     if (known && known.owner !== owner)
@@ -31,13 +33,13 @@
   }
 
   /**
-   * @param key - As a caller sent it.
-   * @returns Whose it is; undefined: nobody's.
+   * @param key - Key in clear text, as sent by a caller.
+   * @returns The owner of the key, or undefined if the key is unknown.
    */
   ownerOf(key: string): T | undefined {
     const digits = hashOfKey(key);
-    // Looking up a hash leaks no more than how many bits of the hash agree,
-    // and those cannot be chosen; the whole is compared in constant time.
+    // The lookup leaks at most how many bits of the hash match, and an attacker
+    // cannot choose those. The complete hash is compared in constant time.
     const known = this.byHash.get(digits);
     if (!known) return undefined;
     const hash = Buffer.from(digits, 'hex');
@@ -46,9 +48,9 @@
 }
 
 /**
- * @param key - A key in clear text.
- * @returns Its SHA-256 as hexadecimal digits.
+ * @param key - Key in clear text.
+ * @returns Its SHA-256 hash in hexadecimal.
  */
 export function hashOfKey(key: string): string {
-  return hashAtOnce('sha256', key, 'hex');
+  return hashSync('sha256', key, 'hex');
 }
--- a/packages/core/src/lib/version/resource.ts
+++ b/packages/core/src/lib/version/resource.ts
@@ -1,6 +1,6 @@
 /**
- * What operators declare. A resource has a spec, written by operators, and a
- * status, written by the system.
+ * Resources that operators declare. A resource has a spec, written by
+ * operators, and a status, written by the system.
  */
 import type {FenceCheck} from '../process/order.js';
 import type {BatchPolicy} from './target_config.js';
@@ -12,9 +12,9 @@
   readonly firstTokenMs: number;
   readonly betweenTokensMs: number;
   readonly maxOnline: number;
-  /** Largest `maxTokens` of a request. */
+  /** Upper limit of `maxTokens` of a request. */
   readonly maxTokens: number;
-  /** The version that takes traffic; absent for plain services. */
+  /** Version that takes the traffic; absent for plain services. */
   readonly version?: string;
 }
 
@@ -34,35 +34,41 @@
 
 /** A target that belongs to the fleet. */
 export interface TargetSpec {
-  /** The models and services that it serves. */
+  /** Names of the models and services that it serves. */
   readonly pools: readonly string[];
   /** Host and port of its target process. */
   readonly address: string;
   readonly dataCentre: string;
   readonly fenceCheck: FenceCheck;
-  /** Declared out: it finishes what it has and gets nothing new. */
+  /**
+   * Whether the target drains: it completes its current requests and gets no
+   * new ones.
+   */
   readonly leaving: boolean;
 }
 
-/** Someone who may call, or operate. */
+/** A client with access as a caller or as an operator. */
 export interface CallerSpec {
   readonly role: 'caller' | 'operator';
-  /** SHA-256 of each valid bearer key, in hexadecimal; two while rotating. */
+  /**
+   * SHA-256 of each valid bearer key, in hexadecimal; two during a key
+   * rotation.
+   */
   readonly keyHashes: readonly string[];
-  /** Share under contention, against other callers. */
+  /** Weight against other callers under contention. */
   readonly weight: number;
 }
 
-/** Limits of one caller; its name is the caller's. */
+/** Limits of the caller with the same name as the resource. */
 export interface LimitSpec {
   readonly requestsPerSecond: number;
   readonly tokensPerSecond: number;
   readonly concurrent: number;
-  /** Seconds' worth of unused rate that may be spent at once. */
+  /** Seconds of unused rate that can accumulate for a burst. */
   readonly burstSeconds: number;
 }
 
-/** Kinds of resource that operators write, with their specs. */
+/** Spec types by kind of resource. */
 export interface SpecByKind {
   readonly models: ModelSpec;
   readonly adapters: AdapterSpec;
@@ -72,10 +78,10 @@
   readonly limits: LimitSpec;
 }
 
-/** Kinds of resource that operators write. */
+/** Kinds of resource that operators declare. */
 export type ResourceKind = keyof SpecByKind;
 
-/** All kinds, in the order in which they depend on each other. */
+/** All kinds, in order of their dependencies. */
 export const RESOURCE_KINDS: readonly ResourceKind[] = [
   'models',
   'versions',
@@ -85,13 +91,13 @@
   'limits',
 ];
 
-/** What the system says about a resource. */
+/** A condition in the status of a resource. */
 export interface Condition {
   readonly type: string;
   readonly status: 'true' | 'false' | 'unknown';
   readonly reason: string;
   readonly message: string;
-  /** When it last changed, in milliseconds since the Unix epoch. */
+  /** Time of the last change, in milliseconds since the Unix epoch. */
   readonly since: number;
 }
 
@@ -99,15 +105,17 @@
 export interface Resource<K extends ResourceKind = ResourceKind> {
   readonly kind: K;
   readonly name: string;
-  /** The revision of its last change; `If-Match` compares it. */
+  /** Revision of its last change; compared with `If-Match`. */
   readonly resourceVersion: number;
   readonly spec: SpecByKind[K];
 }
 
-/** One change of the configuration; revisions count up by one with each. */
+/**
+ * One change of the configuration. Each change increments the revision by one.
+ */
 export interface ResourceChange {
   readonly type: 'put' | 'delete';
-  /** As of this change; for a deletion, as it was last. */
+  /** The resource after the change, or as it last was before a deletion. */
   readonly resource: Resource;
   readonly revision: number;
 }
@@ -116,31 +124,34 @@
 
 type ResourcesByKind = ReadonlyMap<ResourceKind, ResourcesByName>;
 
-/** Every resource as of one revision. Never changes; a new one replaces it. */
+/** Immutable snapshot of all resources as of one revision. */
 export class ConfigSnapshot {
-  private flat: readonly Resource[] | undefined;
+  private resourceList: readonly Resource[] | undefined;
 
   /**
-   * @param revision - Counts changes; 0 is the empty configuration.
-   * @param resources - All resources as of that revision.
-   * @param byKind - The same resources, where they are indexed already.
+   * @param revision - Number of changes so far; 0 is the empty configuration.
+   * @param resources - All resources as of the revision; ignored if `byKind` is
+   *     given.
+   * @param byKind - The same resources, if they are already indexed.
    */
   constructor(
     readonly revision: number,
     resources: Iterable<Resource>,
-    private readonly byKind: ResourcesByKind = indexed(resources),
+    private readonly byKind: ResourcesByKind = indexByKind(resources),
   ) {}
 
-  /** All resources, by kind. */
+  /** All resources, ordered by kind. */
   get resources(): readonly Resource[] {
-    this.flat ??= [...this.byKind.values()].flatMap(all => [...all.values()]);
-    return this.flat;
+    this.resourceList ??= [...this.byKind.values()].flatMap(all => [
+      ...all.values(),
+    ]);
+    return this.resourceList;
   }
 
   /**
    * @param kind - Kind of the resource.
-   * @param name - Its name.
-   * @returns The resource, if it is declared.
+   * @param name - Name of the resource.
+   * @returns The resource, or undefined if it is not declared.
    */
   get<K extends ResourceKind>(kind: K, name: string): Resource<K> | undefined {
     return this.byKind.get(kind)!.get(name) as Resource<K> | undefined;
@@ -148,17 +159,19 @@
 
   /**
    * @param kind - Kind of the resources.
-   * @returns All of the kind, in order of declaration.
+   * @returns All resources of the kind, in order of declaration.
    */
   all<K extends ResourceKind>(kind: K): readonly Resource<K>[] {
     return [...this.byKind.get(kind)!.values()] as Resource<K>[];
   }
 
   /**
+   * Applies changes to this snapshot.
+   *
    * @param changes - The changes that follow this revision without a gap.
-   * @returns The configuration after them. Kinds that did not change are
-   *     shared, so that a change among tens of thousands of resources does not
-   *     hold up the process.
+   * @returns The configuration after the changes. Unchanged kinds share their
+   *     data with this snapshot, so that a change among tens of thousands of
+   *     resources does not block the process.
    */
   advance(changes: readonly ResourceChange[]): ConfigSnapshot {
     const last = changes.at(-1);
@@ -177,7 +190,7 @@
   }
 }
 
-function indexed(resources: Iterable<Resource>): ResourcesByKind {
+function indexByKind(resources: Iterable<Resource>): ResourcesByKind {
   const byKind = new Map(
     RESOURCE_KINDS.map(kind => [kind, new Map<string, Resource>()]),
   );
@@ -187,9 +200,12 @@
   return byKind;
 }
 
-/** A node's view of the configuration: it only ever moves forward. */
+/** A node's view of the configuration. Its revision never decreases. */
 export interface ConfigView {
   current(): ConfigSnapshot;
-  /** Calls back after each adopted revision. */
+  /**
+   * @param callback - Called after each adopted revision.
+   * @returns A disposable that removes the callback.
+   */
   onChange(callback: (snapshot: ConfigSnapshot) => void): Disposable;
 }
--- a/packages/core/src/lib/version/rollout_machine.ts
+++ b/packages/core/src/lib/version/rollout_machine.ts
@@ -1,59 +1,62 @@
 /**
- * One target's way to the version of a model that takes traffic: it is loaded
- * beside the old one, becomes ready, takes the traffic, and only then the old
- * one is unloaded. Apart from all input, output and time.
+ * State machine of the rollout of a model version to one target. The new
+ * version is loaded next to the old one, becomes ready and takes the traffic;
+ * only then the old one is unloaded. Free of I/O and time.
  */
 import {setup, transition} from 'xstate';
 import {memoizedStep} from '../process/memoized_step.js';
 
-/** Each state of the way. */
+/** States of a rollout. */
 export type RolloutState =
-  /** The wanted version is to be ordered, also where it seems to be there. */
+  /** The wanted version must be ordered, even if the target reports it. */
   | 'wanting'
-  /** Each `…Ordered`: the order is sent, its outcome not known. */
+  /** In each `…Ordered` state an order was sent and its outcome is unknown. */
   | 'loadOrdered'
   | 'loading'
-  /** The wanted version is ready; something else is left to be changed. */
+  /**
+   * The wanted version is ready; other versions or adapters still have to
+   * change.
+   */
   | 'ready'
   | 'changeOrdered'
   /** The wanted version could not be loaded. */
   | 'failed'
   | 'clearOrdered'
-  /** An order was refused: nothing is ordered for a while. */
+  /** An order was refused; no orders are sent for a while. */
   | 'held'
   | 'complete';
 
-/** The wanted version, as the target reports it. */
+/** State of the wanted version as reported by the target. */
 export type WantedState = 'absent' | 'loading' | 'ready' | 'failed';
 
-/** What happens on the way. */
+/** Events of a rollout. */
 export type RolloutEvent =
   /** The order that belongs to the state was sent. */
   | {readonly type: 'sent'}
-  /** The outcome of an order. */
+  /** Outcome of an order. */
   | {readonly type: 'taken' | 'refused' | 'lost'}
-  /** A report that was made after the last order had its effect. */
+  /** Report that was made after the last order took effect. */
   | {
       readonly type: 'observed';
       readonly wanted: WantedState;
-      /** Other versions, or adapters, are still to be changed. */
+      /** Whether other versions or adapters still have to change. */
       readonly unfinished: boolean;
     }
-  /** A held order may be tried again. */
+  /** The delay after a refused order has expired. */
   | {readonly type: 'expired'}
-  /** Another version is wanted, or the target was away. */
+  /** Another version is wanted, or the target was unreachable. */
   | {readonly type: 'restart'};
 
 type Observed = Extract<RolloutEvent, {readonly type: 'observed'}>;
 
 /**
- * The machine of one model at one target.
+ * State machine of one model at one target.
  *
- * It begins with an order even where the wanted version is reported to be
- * there. Guards against an order of an earlier holder that is still on its way:
- * it could unload what the report shows. Once the target has taken an order
- * with the new token, older ones are refused, and what is reported afterwards
- * stays so. The same holds after an order whose outcome was lost.
+ * It starts with an order even if the target reports the wanted version. This
+ * guards against an order of an earlier lease holder that is still in transit
+ * and could unload the reported version. Once the target has accepted an order
+ * with the new fencing token, it refuses older ones, so that later reports
+ * remain valid. The same holds after an order whose outcome was lost.
  */
 export const ROLLOUT_MACHINE = setup({
   types: {events: {} as RolloutEvent},
@@ -114,13 +117,13 @@
   },
 });
 
-/** Where every way begins. */
+/** Initial state of a rollout. */
 export const ROLLOUT_START: RolloutState = 'wanting';
 
 /**
- * @param state - A state.
- * @param event - What happens.
- * @returns The state after it; the same when the event means nothing there.
+ * @param state - Current state of a rollout.
+ * @param event - The event to apply.
+ * @returns The next state; unchanged if the event has no transition.
  */
 export const nextRolloutState = memoizedStep<RolloutState, RolloutEvent>(
   (state, event) => {
@@ -131,8 +134,8 @@
 );
 
 /**
- * @param state - A state.
- * @returns Whether the outcome of an order is awaited in it.
+ * @param state - State of a rollout.
+ * @returns Whether an order was sent and its outcome is unknown.
  */
 export function isOrderPending(state: RolloutState): boolean {
   return PENDING_STATES.has(state);
--- a/packages/core/src/lib/version/target_config.ts
+++ b/packages/core/src/lib/version/target_config.ts
@@ -1,44 +1,56 @@
 /** The part of the configuration that one target process needs. */
 
-/** How a deployment weighs batch throughput against harm to the online tail. */
+/**
+ * Trade-off of a deployment between batch throughput and interference with the
+ * tail latency of online work.
+ */
 export interface BatchPolicy {
   /**
-   * From 0 to 1. At 0 batch work takes only what changes neither the p50, the
-   * p95 nor the p99 of online work, in time to first token and between tokens.
-   * At 1 it takes all that keeps the p99 within `maxHarm`; most online tokens
-   * come later then than without batch work. Between, the time that a step or a
-   * first token may take lies by the square of the weight between these two,
-   * and the harm that is planned for by the weight itself.
+   * From 0 to 1. At 0, batch work uses only capacity that does not change the
+   * p50, p95 or p99 of online work, in time to first token and time between
+   * tokens. At 1, it uses all capacity that keeps the p99 within `maxHarm`;
+   * most online tokens are then later than without batch work. In between, the
+   * permitted duration of a step or of the time to first token is interpolated
+   * between these two by the square of the weight, and the planned slowdown by
+   * the weight itself.
    */
   readonly throughputWeight: number;
-  /** Largest accepted ratio of online p99 with batch to without. */
+  /**
+   * Maximum accepted ratio of the online p99 with batch work to that without.
+   */
   readonly maxHarm: number;
 }
 
-/** What a target process is to know about a model or service it serves. */
+/** Configuration of a model or service that a target process serves. */
 export interface PoolConfig {
   readonly pool: string;
   readonly kind: 'model' | 'service';
-  /** The version that takes traffic; any that is ready when absent. */
+  /** Version that takes the traffic; if absent, any version that is ready. */
   readonly version?: string;
   readonly batch: BatchPolicy;
-  /** Aim for the first token, in milliseconds. */
+  /** Latency objective for the first token, in milliseconds. */
   readonly firstTokenMs: number;
-  /** Aim between tokens, in milliseconds. */
+  /** Latency objective between tokens, in milliseconds. */
   readonly betweenTokensMs: number;
-  /** Upper bound of online requests at once; measured below it. */
+  /**
+   * Maximum number of concurrent online requests; the actual limit is measured
+   * and may be lower.
+   */
   readonly maxOnline: number;
 }
 
-/** The configuration of one target process. */
+/** Configuration of one target process. */
 export interface TargetConfig {
-  /** A target process adopts only a higher revision. */
+  /** A target process adopts only a configuration with a higher revision. */
   readonly revision: number;
   readonly pools: readonly PoolConfig[];
-  /** Share of each caller under contention; 1 where a caller is missing. */
+  /** Weight of each caller under contention; 1 for a caller that is missing. */
   readonly callerWeights: Readonly<Record<string, number>>;
   /** Fingerprints of work that must not run. */
   readonly blocked: readonly string[];
-  /** Declared out: it finishes what it has and takes nothing new. */
+  /**
+   * Whether the target drains: it completes its current requests and accepts no
+   * new ones.
+   */
   readonly leaving?: boolean;
 }
--- a/packages/core/src/test/version/key_index_test.ts
+++ b/packages/core/src/test/version/key_index_test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import {hashOfKey, KeyIndex} from '../../lib/version/key_index.js';
 
-test('a key is found by its hash, in any case of the digits', t => {
+test('finds a key by its hash in upper or lower case', t => {
   const index = new KeyIndex<string>();
   index.add(hashOfKey('one').toUpperCase(), 'bank-one');
   index.add(hashOfKey('two'), 'bank-one');
@@ -11,8 +11,9 @@
     t.is(index.ownerOf(key), undefined);
 });
 
-// A request runs under the account of another: two have the same key.
-test('a key of two owners stays with the first', t => {
+// Two accounts are declared with the same key, and a request of one would run
+// under the other.
+test('a key with two owners stays with the first one', t => {
   const index = new KeyIndex<string>();
   t.is(index.add(hashOfKey('one'), 'bank-one'), undefined);
   t.is(index.add(hashOfKey('one'), 'bank-one'), undefined);
@@ -21,7 +22,7 @@
   t.is(index.ownerOf('one'), 'bank-one');
 });
 
-test('a hash that is none belongs to no key', t => {
+test('a malformed hash matches no key', t => {
   const index = new KeyIndex<string>();
   index.add('not a hash', 'bank-one');
   t.is(index.ownerOf('not a hash'), undefined);
--- a/packages/core/src/test/version/resource_test.ts
+++ b/packages/core/src/test/version/resource_test.ts
@@ -21,7 +21,7 @@
   );
 });
 
-test('a change leaves the snapshot before it as it was', t => {
+test('a change does not modify the previous snapshot', t => {
   const after = BEFORE.advance([
     {type: 'put', revision: 3, resource: resource('models', 'm', 3)},
     {type: 'put', revision: 4, resource: resource('models', 'n', 4)},
--- a/packages/core/src/test/version/rollout_machine_test.ts
+++ b/packages/core/src/test/version/rollout_machine_test.ts
@@ -14,14 +14,16 @@
   return {type: 'observed', wanted, unfinished};
 }
 
-function walk(...events: readonly RolloutEvent[]): readonly RolloutState[] {
+function statesAfter(
+  ...events: readonly RolloutEvent[]
+): readonly RolloutState[] {
   let state = ROLLOUT_START;
   return events.map(event => (state = nextRolloutState(state, event)));
 }
 
-test('loads, becomes ready, lets the old one go', t => {
+test('loads the new version, becomes ready, unloads the old version', t => {
   t.deepEqual(
-    walk(
+    statesAfter(
       {type: 'sent'},
       {type: 'taken'},
       observed('loading', true),
@@ -42,12 +44,12 @@
   );
 });
 
-test('believes no report before an order was taken', t => {
+test('ignores reports until an order was accepted', t => {
   t.is(nextRolloutState('wanting', observed('ready')), 'wanting');
   t.is(nextRolloutState('loadOrdered', observed('ready')), 'loadOrdered');
 });
 
-test('begins anew when an outcome is lost or a version goes', t => {
+test('starts again when an outcome is lost or a version disappears', t => {
   for (const state of [
     'loadOrdered',
     'changeOrdered',
@@ -64,9 +66,9 @@
   }
 });
 
-test('a failed load is cleared and tried anew', t => {
+test('a failed load is cleared and retried', t => {
   t.deepEqual(
-    walk(
+    statesAfter(
       {type: 'sent'},
       {type: 'taken'},
       observed('failed'),
