--- a/packages/core/src/lib/process/freshness_lease.ts
+++ b/packages/core/src/lib/process/freshness_lease.ts
@@ -69,14 +69,11 @@
    * @param version - Latest version of the store according to the response.
    * @returns Whether the lease was renewed.
    */
-  prove(
-    {startedAt: askedAt, minVersion: leastVersion}: FreshnessQuestion,
-    version: number,
-  ): boolean {
-    if (version < leastVersion) return false;
+  prove({startedAt, minVersion}: FreshnessQuestion, version: number): boolean {
+    if (version < minVersion) return false;
     // Responses may arrive out of order: the latest request counts.
-    const isNewer = !this.renewedAt || askedAt[0]! >= this.renewedAt[0]!;
-    if (isNewer) this.renewedAt = askedAt;
+    const isNewer = !this.renewedAt || startedAt[0]! >= this.renewedAt[0]!;
+    if (isNewer) this.renewedAt = startedAt;
     return isNewer;
   }
 
@@ -85,11 +82,11 @@
    * the first one.
    */
   get ageMs(): number {
-    const {renewedAt: provenAt} = this;
-    if (!provenAt) return Infinity;
+    const {renewedAt} = this;
+    if (!renewedAt) return Infinity;
     const elapsed = this.context
       .readClocks()
-      .map((now, i) => now - provenAt[i]!);
+      .map((now, i) => now - renewedAt[i]!);
     return Math.max(...elapsed);
   }
 
--- a/packages/core/src/test/fakes/burst_fleet.ts
+++ b/packages/core/src/test/fakes/burst_fleet.ts
@@ -1,7 +1,7 @@
 /**
  * Simulates callers, hosts and targets in virtual time: bursts beyond the
- * capacity of the targets, and callers that retry once, when they are told to.
- * Hosts know the loads of all targets as of the last load report.
+ * capacity of the targets, and callers that retry once, at the time given by
+ * the refusal. Hosts know the loads of all targets as of the last load report.
  */
 import {
   PaceLearner,
@@ -176,8 +176,8 @@
       const host = random.int(load.hosts);
       waiting.push({arrivedAt: now, returning: false, attemptedAt: now, host});
     }
-    waiting.push(...returning.filter(({attemptedAt: cameAt}) => cameAt <= now));
-    returning = returning.filter(({attemptedAt: cameAt}) => cameAt > now);
+    waiting.push(...returning.filter(({attemptedAt}) => attemptedAt <= now));
+    returning = returning.filter(({attemptedAt}) => attemptedAt > now);
     waiting = waiting.filter(caller => {
       if (tryStart(caller, now)) return false;
       const policy = policies[caller.host]!;
--- a/packages/core/src/test/process/caller_limits_test.ts
+++ b/packages/core/src/test/process/caller_limits_test.ts
@@ -39,7 +39,7 @@
   const entries = [new CallerLimits(2), new CallerLimits(2)];
   const passed = [0, 0];
   for (const entry of entries) entry.declare('bank-a', SPEC, 0);
-  let told: readonly CallerUse[] = [];
+  let published: readonly CallerUse[] = [];
   for (let now = 0; now < 60_000; now += 20) {
     const busy = entries[0]!;
     if (busy.begin('bank-a', 1, now) === undefined) {
@@ -48,10 +48,10 @@
     }
     if (now % 1000 !== 0) continue;
     for (const [at, entry] of entries.entries()) {
-      const others = told[1 - at];
+      const others = published[1 - at];
       if (others !== undefined) entry.learn('bank-a', others, now);
     }
-    told = entries.map(entry => entry.use(now).get('bank-a')!);
+    published = entries.map(entry => entry.use(now).get('bank-a')!);
   }
   const rate = passed[0]! / 60;
   t.true(rate > 9 && rate < 10.5, `${rate} requests per second, limit 10`);
--- a/packages/core/src/test/process/freshness_lease_test.ts
+++ b/packages/core/src/test/process/freshness_lease_test.ts
@@ -56,9 +56,9 @@
 test('the lease counts from before the request', t => {
   const clocks = new Clocks();
   const {lease} = newLease(clocks);
-  const question = lease.ask();
+  const renewal = lease.ask();
   clocks.advance(LEASE_MS - 1);
-  lease.prove(question, 1);
+  lease.prove(renewal, 1);
   t.true(lease.isValid);
   clocks.advance(2);
   t.false(lease.isValid);
@@ -89,10 +89,10 @@
   const clocks = new Clocks();
   const {lease, store} = newLease(clocks);
   store.newest = 20;
-  const question = lease.ask();
-  t.false(lease.prove(question, 19));
+  const renewal = lease.ask();
+  t.false(lease.prove(renewal, 19));
   t.false(lease.isValid);
-  t.true(lease.prove(question, 20));
+  t.true(lease.prove(renewal, 20));
 });
 
 type Step =
@@ -133,7 +133,7 @@
   let longest = 0;
   let setBack = false;
   let pending:
-    {question: ReturnType<typeof lease.ask>; tells: boolean} | undefined;
+    {renewal: ReturnType<typeof lease.ask>; isRevoked: boolean} | undefined;
   const act: Record<Step['kind'], (ms: number) => void> = {
     pass: ms => {
       clocks.advance(ms);
@@ -152,12 +152,15 @@
       clocks.setTimeOfDay(ms);
     },
     ask: () => {
-      pending = {question: lease.ask(), tells: revokedAt !== undefined};
+      pending = {
+        renewal: lease.ask(),
+        isRevoked: revokedAt !== undefined,
+      };
     },
     answer: () => {
       if (!pending) return;
-      knowsRevocation ||= pending.tells;
-      const from = countFrom === 'question' ? pending.question : lease.ask();
+      knowsRevocation ||= pending.isRevoked;
+      const from = countFrom === 'question' ? pending.renewal : lease.ask();
       lease.prove(from, 1);
       pending = undefined;
     },
--- a/packages/core/src/test/request/burst_replay_test.ts
+++ b/packages/core/src/test/request/burst_replay_test.ts
@@ -70,8 +70,8 @@
 const LATE_VALUE = 0.15;
 
 function valueOf(outcome: BurstOutcome): number {
-  const {requests, inTime, inTimeOnRetry: inTimeOnReturn, late} = outcome;
-  return (inTime + RETRY_VALUE * inTimeOnReturn + LATE_VALUE * late) / requests;
+  const {requests, inTime, inTimeOnRetry, late} = outcome;
+  return (inTime + RETRY_VALUE * inTimeOnRetry + LATE_VALUE * late) / requests;
 }
 
 /**
