--- a/packages/core/src/test/request/item_machine_test.ts
+++ b/packages/core/src/test/request/item_machine_test.ts
@@ -75,7 +75,7 @@
   t.is(run([...SENT, {type: 'orphan', idempotent: true}]), 'waiting');
 });
 
-test('a suspect runs alone, and fails if a target dies again', t => {
+test('a suspect runs alone, is done if answered, fails if a target dies again', t => {
   const suspect = [...SENT, lose(true, true, false)];
   t.is(run(suspect), 'suspect');
   t.is(run([...suspect, ...SENT]), 'suspectStarted');
