--- a/packages/core/src/lib/process/caller_limits.ts
+++ b/packages/core/src/lib/process/caller_limits.ts
@@ -118,19 +118,13 @@
     tokenBucket.demand += tokens;
     const maxConcurrent = state.spec.concurrent * state.concurrentShare;
     if (state.concurrent >= Math.max(1, Math.round(maxConcurrent))) {
-      return rateLimited(
-        'Too many concurrent requests for this caller.',
-        MS_PER_SECOND,
-      );
+      return rateLimited('Too many requests at once.', MS_PER_SECOND);
     }
     // A share can be less than one request, and a request larger than a whole
     // bucket. Each is admitted while the level is positive and may leave it
     // negative.
     if (requests.level <= 0 || tokenBucket.level <= 0) {
-      return rateLimited(
-        'Request or token rate limit exceeded.',
-        retryDelayMs(state),
-      );
+      return rateLimited('Over the declared rate.', retryDelayMs(state));
     }
     requests.level -= 1;
     tokenBucket.level -= tokens;
