--- a/packages/gateway/src/lib/process/account_quotas.ts
+++ b/packages/gateway/src/lib/process/account_quotas.ts
@@ -1,11 +1,12 @@
 /**
- * Whether a request is within its account's quota, which holds over all hosts.
+ * Enforces request quotas of client accounts across all hosts.
  *
- * One host counts each account, chosen by rendezvous among the live ones, so that it
- * counts exactly without a store and without messages to all. Guards against a host
- * that can't be asked: it is not asked for a while, and meanwhile each host lets
- * through a small reserve. Guards against two hosts that count one account while the
- * list of hosts changes: who is not responsible by its own list grants nothing.
+ * Each account is counted by one host, its owner, which is chosen among the
+ * live hosts by rendezvous hashing. Counting is thus exact without a store and
+ * without broadcasts. If the owner does not answer, it is not asked again for a
+ * while, and each host admits requests from a small reserve instead. While the
+ * list of hosts changes, two hosts may consider themselves the owner; a host
+ * that is not the owner by its own list grants nothing.
  */
 import {
   QuotaKeeper,
@@ -27,79 +28,101 @@
   QuotaMessage,
 } from '../connection/quota_message.js';
 
-/** A host that may count accounts. */
+/** A host that may own accounts. */
 export interface CountingHost extends HostAddress {
-  /** The run of its process. */
+  /** ID of its process incarnation. */
   readonly id: string;
-  /** The host's name, the same after each start. */
+  /** Name of the host, which is the same after each restart. */
   readonly host: string;
 }
 
-/** What {@link AccountQuotas} needs. */
+/** Dependencies of {@link AccountQuotas}. */
 export interface AccountQuotasContext {
   readonly self: CountingHost;
   readonly clock: Clock;
   readonly random: Random;
   readonly log: EventLog;
   readonly counters: Counters;
-  /** @returns The live hosts, this one included; undefined: not known yet. */
+  /**
+   * @returns The live hosts, including this one; undefined if they are not
+   *     known yet.
+   */
   readonly hosts: () => readonly CountingHost[] | undefined;
   readonly tolerance: () => QuotaTolerance;
-  /** @returns The quota of an account in this host's configuration. */
+  /**
+   * @returns The quota of an account in this host's configuration; undefined if
+   *     it has none.
+   */
   readonly quotaOf: (account: string) => RequestQuota | undefined;
   readonly send: (message: QuotaMessage, to: HostAddress) => void;
 }
 
-/** How long an answer is waited for, in milliseconds: several round trips between
- * data centres and the queue of a busy host. */
-const ASK_TIMEOUT_MS = 60;
-/** How often a question is sent: a datagram may be lost. */
-const TRIES = 2;
-/** For how long a host is not asked after it gave no answer, in milliseconds. */
-const SILENT_MS = 500;
-/** How often the list of hosts is looked at, in milliseconds. */
-const REFRESH_MS = 250;
-/** What a caller is told whose account can't be counted now, in milliseconds. */
-const UNCOUNTED_WAIT_MS = 1000;
+/**
+ * Timeout of a quota request, in milliseconds: several round trips between data
+ * centres plus the queueing delay of a busy host.
+ */
+const REQUEST_TIMEOUT_MS = 60;
+/**
+ * Number of times that a quota request is sent, because datagrams may be lost.
+ */
+const MAX_SENDS = 2;
+/** How long an unresponsive owner is not asked, in milliseconds. */
+const UNRESPONSIVE_PAUSE_MS = 500;
+/**
+ * Interval at which the list of hosts is checked for changes, in milliseconds.
+ */
+const REFRESH_INTERVAL_MS = 250;
+/**
+ * Retry delay for callers whose account cannot be counted at present, in
+ * milliseconds.
+ */
+const UNCOUNTED_RETRY_DELAY_MS = 1000;
 
-type Answer = (answer: QuotaAnswer | undefined) => void;
+type AnswerHandler = (answer: QuotaAnswer | undefined) => void;
 
 const GRANTED: QuotaVerdict = {kind: 'granted'};
 
-/** Asks for this host's requests, and counts the accounts that are its own. */
+/**
+ * Checks the quotas of this host's requests, and counts the accounts that this
+ * host owns.
+ */
 export class AccountQuotas implements Disposable {
   private readonly keeper: QuotaKeeper;
   private readonly reserve: QuotaReserve;
-  private readonly waiting = new Map<number, Answer>();
-  /** Until when a host is taken for silent, by its name. */
-  private readonly silentUntil = new Map<string, number>();
+  private readonly pendingAnswers = new Map<number, AnswerHandler>();
+  /** Time until which a host is considered unresponsive, by host name. */
+  private readonly pausedUntil = new Map<string, number>();
   private readonly owners = new Map<string, CountingHost>();
   private hosts: readonly CountingHost[] = [];
-  private names = '';
+  private hostIds = '';
   private askId = 0;
   private timer: Disposable | undefined;
 
-  /** @param context - Hosts, quotas and the way to other hosts. */
+  /** @param context - Hosts, quotas and the transport to other hosts. */
   constructor(private readonly context: AccountQuotasContext) {
     this.keeper = new QuotaKeeper(context.tolerance, context.clock.now());
     this.reserve = new QuotaReserve(context.random);
   }
 
-  /** Begins to follow the list of hosts. */
+  /** Starts to watch the list of hosts. */
   start(): void {
     this.refresh();
-    this.timer = repeat(this.context.clock, REFRESH_MS, () => this.refresh());
+    this.timer = repeat(this.context.clock, REFRESH_INTERVAL_MS, () =>
+      this.refresh(),
+    );
   }
 
-  /** Stops following it. */
+  /** Stops watching the list of hosts. */
   [Symbol.dispose](): void {
     this.timer?.[Symbol.dispose]();
   }
 
   /**
-   * @param account - An account with a quota.
-   * @param quota - What it is allowed.
-   * @returns Whether one more of its requests may run. Never rejects.
+   * Consumes one request of an account's quota.
+   *
+   * @param account - Name of an account with a quota.
+   * @param quota - Its quota.
+   * @returns Whether the request may run. Never rejects.
    */
   async take(account: string, quota: RequestQuota): Promise<QuotaVerdict> {
     const owner = this.ownerOf(account);
@@ -107,12 +130,16 @@
     const verdict =
       owner?.host === self.host
         ? this.keeper.take(account, quota, clock.now())
-        : await this.askOrReserve(owner, account, quota);
-    this.count(verdict.kind);
+        : await this.requestOrReserve(owner, account, quota);
+    this.countVerdict(verdict.kind);
     return verdict;
   }
 
-  /** @param account - One of its requests was granted and did not run. */
+  /**
+   * Refunds a request that was granted and did not run.
+   *
+   * @param account - Name of the account.
+   */
   giveBack(account: string): void {
     const owner = this.ownerOf(account);
     if (!owner) return;
@@ -120,93 +147,99 @@
     else this.context.send({kind: 'give-back', account}, owner);
   }
 
-  /** @param message - What another host says. */
+  /** @param message - A message from another host. */
   hear(message: QuotaMessage): void {
     switch (message.kind) {
       case 'ask':
-        this.answer(message);
+        this.handleRequest(message);
         return;
       case 'answer':
-        this.waiting.get(message.askId)?.(message);
+        this.pendingAnswers.get(message.askId)?.(message);
         return;
       case 'give-back':
         this.keeper.giveBack(message.account);
     }
   }
 
-  private async askOrReserve(
+  private async requestOrReserve(
     owner: CountingHost | undefined,
     account: string,
     quota: RequestQuota,
   ): Promise<QuotaVerdict> {
-    const answer = owner && (await this.ask(owner, account));
+    const answer = owner && (await this.requestVerdict(owner, account));
     if (answer?.verdict === 'granted') return GRANTED;
     if (answer?.verdict === 'over') {
       const {waitMs} = answer;
       return {kind: 'over', waitMs};
     }
-    return this.fromReserve(account, quota);
+    return this.takeFromReserve(account, quota);
   }
 
-  private fromReserve(account: string, quota: RequestQuota): QuotaVerdict {
+  private takeFromReserve(account: string, quota: RequestQuota): QuotaVerdict {
     const {clock, tolerance} = this.context;
     const hosts = Math.max(1, this.hosts.length);
     const view = {quota, tolerance: tolerance(), hosts};
-    const may =
+    const isGranted =
       this.hosts.length > 0 && this.reserve.take(account, view, clock.now());
-    this.count(may ? 'reserve' : 'no-reserve');
-    return may ? GRANTED : {kind: 'over', waitMs: UNCOUNTED_WAIT_MS};
+    this.countVerdict(isGranted ? 'reserve' : 'no-reserve');
+    return isGranted
+      ? GRANTED
+      : {kind: 'over', waitMs: UNCOUNTED_RETRY_DELAY_MS};
   }
 
-  private async ask(
+  private async requestVerdict(
     owner: CountingHost,
     account: string,
   ): Promise<QuotaAnswer | undefined> {
     const {clock, self, send} = this.context;
-    if ((this.silentUntil.get(owner.host) ?? 0) > clock.now()) return undefined;
-    for (let i = 0; i < TRIES; i++) {
+    if ((this.pausedUntil.get(owner.host) ?? 0) > clock.now()) return undefined;
+    for (let i = 0; i < MAX_SENDS; i++) {
       const askId = ++this.askId;
-      const answered = this.answerTo(askId);
+      const answered = this.awaitAnswer(askId);
       send({kind: 'ask', host: self.id, askId, account}, owner);
       const answer = await answered;
       if (answer) return answer;
     }
-    this.silent(owner);
+    this.pauseOwner(owner);
     return undefined;
   }
 
-  private silent({host}: CountingHost): void {
+  private pauseOwner({host}: CountingHost): void {
     const {clock, log} = this.context;
-    const until = clock.now() + SILENT_MS;
-    if ((this.silentUntil.get(host) ?? 0) <= clock.now())
-      log.event('quota-host-silent', {silent: host, pauseMs: SILENT_MS});
-    this.silentUntil.set(host, until);
+    const until = clock.now() + UNRESPONSIVE_PAUSE_MS;
+    if ((this.pausedUntil.get(host) ?? 0) <= clock.now())
+      log.event('quota-host-silent', {
+        silent: host,
+        pauseMs: UNRESPONSIVE_PAUSE_MS,
+      });
+    this.pausedUntil.set(host, until);
   }
 
-  private answerTo(askId: number): Promise<QuotaAnswer | undefined> {
+  private awaitAnswer(askId: number): Promise<QuotaAnswer | undefined> {
     return new Promise(resolve => {
-      const settle: Answer = answer => {
-        this.waiting.delete(askId);
+      const settle: AnswerHandler = answer => {
+        this.pendingAnswers.delete(askId);
         timer[Symbol.dispose]();
         resolve(answer);
       };
-      const timer = this.context.clock.after(ASK_TIMEOUT_MS, () =>
+      const timer = this.context.clock.after(REQUEST_TIMEOUT_MS, () =>
         settle(undefined),
       );
-      this.waiting.set(askId, settle);
+      this.pendingAnswers.set(askId, settle);
     });
   }
 
-  private answer({host, askId, account}: QuotaAsk): void {
+  private handleRequest({host, askId, account}: QuotaAsk): void {
     const {clock, self, quotaOf, send} = this.context;
     const to = this.hosts.find(({id}) => id === host);
-    // A host that is not known yet falls back to its reserve.
+    // A sender that is not in the list yet times out and uses its reserve.
     if (!to) return;
     const reply = (verdict: QuotaAnswer['verdict'], waitMs = 0) =>
       send({kind: 'answer', askId, verdict, waitMs}, to);
     if (this.ownerOf(account)?.host !== self.host) return reply('elsewhere');
     const quota = quotaOf(account);
-    // Its configuration is older than the other host's, or newer: no limit here.
+    // The configuration of the two hosts differs, and this one has no limit for
+    // the account.
     if (!quota) return reply('granted');
     const verdict = this.keeper.take(account, quota, clock.now());
     if (verdict.kind === 'granted') return reply('granted');
@@ -225,12 +258,12 @@
 
   private refresh(): void {
     const hosts = this.context.hosts() ?? [];
-    const names = hosts
+    const ids = hosts
       .map(({id}) => id)
       .sort()
       .join(' ');
-    if (names === this.names) return;
-    this.names = names;
+    if (ids === this.hostIds) return;
+    this.hostIds = ids;
     this.hosts = hosts;
     this.owners.clear();
     const {self, clock} = this.context;
@@ -240,7 +273,7 @@
     );
   }
 
-  private count(outcome: string): void {
+  private countVerdict(outcome: string): void {
     this.context.counters.count('quota_verdicts', {outcome});
   }
 }
--- a/packages/gateway/src/lib/process/avoided_targets.ts
+++ b/packages/gateway/src/lib/process/avoided_targets.ts
@@ -1,29 +1,34 @@
 /**
- * Targets that several hosts say have failed them just now.
+ * Tracks targets that several hosts have reported as failing.
  *
- * Answers a crash of many targets in a burst: a target that refuses connections has
- * the least load of all, so that each host of a data centre tried it for itself again
- * and again. One host alone is not believed: it may be cut off from a target that
- * serves all others.
+ * A crashed target that refuses connections has the lowest load of all, so in a
+ * burst with many crashes every host of a data centre selects it again and
+ * again. The coordinator therefore avoids targets that several hosts report. A
+ * report from a single host is not enough, because that host may be partitioned
+ * from a target that serves all others.
  */
 
-/** So many hosts must say so. */
-const HOSTS_TO_AVOID = 2;
-/** What a host says counts for so long, in milliseconds: some pauses after which it
- * tries the target again. */
+/** Number of hosts that must report a target before it is avoided. */
+const MIN_REPORTING_HOSTS = 2;
+/**
+ * How long a report counts, in milliseconds: several of the suspension pauses
+ * after which a host retries the target.
+ */
 const REPORT_LIFETIME_MS = 500;
 
-/** Keeps what hosts say of targets that failed them. */
+/** Collects host reports about failing targets. */
 export class AvoidedTargets {
-  /** When each host last said it, by target and host. */
+  /** Time of each host's latest report, by target ID and host. */
   private readonly reports = new Map<string, Map<string, number>>();
 
-  /** @param now - A steady clock, in milliseconds. */
+  /** @param now - Returns the monotonic time, in milliseconds. */
   constructor(private readonly now: () => number) {}
 
   /**
-   * @param host - Who says it.
-   * @param targetIds - Targets that failed it.
+   * Records that targets have failed a host.
+   *
+   * @param host - The reporting host.
+   * @param targetIds - IDs of the targets that failed it.
    */
   report(host: string, targetIds: readonly string[]): void {
     for (const id of targetIds) {
@@ -32,11 +37,11 @@
     }
   }
 
-  /** @returns Targets, by id, that are to be avoided while others have room. */
-  current(): readonly string[] {
+  /** @returns IDs of targets to avoid as long as others have free slots. */
+  avoidedIds(): readonly string[] {
     this.expire();
     return [...this.reports]
-      .filter(([, hosts]) => hosts.size >= HOSTS_TO_AVOID)
+      .filter(([, hosts]) => hosts.size >= MIN_REPORTING_HOSTS)
       .map(([id]) => id);
   }
 
--- a/packages/gateway/src/lib/process/caller_admission.ts
+++ b/packages/gateway/src/lib/process/caller_admission.ts
@@ -1,10 +1,10 @@
 /**
- * Whose request it is, and whether this host may say so now.
+ * Authenticates callers by API key and checks their quotas.
  *
- * Guards against a key that was withdrawn and goes on being served by a host that has
- * not heard of it: by key this host admits only while it knows that its configuration
- * was the newest a short while ago. A host that does not know refuses at once, so that
- * callers go elsewhere.
+ * A revoked key must not be served by a host that has missed the revocation. A
+ * host therefore admits requests by key only while it knows that its
+ * configuration was the latest one a short time ago. Otherwise it refuses them
+ * at once, so that callers go to another host.
  */
 import type {
   ClientAccount,
@@ -16,22 +16,25 @@
 import type {Route} from '../version/routing_table.js';
 import type {AccountQuotas} from './account_quotas.js';
 
-/** Why a caller is not admitted. */
+/** Reason for which a caller is not admitted. */
 export type AdmissionRefusal =
-  /** The route needs a key, and there is none that could be one. */
+  /** The route requires a key, and the request has none that is well-formed. */
   | 'no-key'
-  /** No account holds the key. */
+  /** No account has this key. */
   | 'unknown-key'
-  /** This host has not heard from the store for too long to say. */
+  /**
+   * The configuration may be outdated, because the store has been unreachable
+   * for too long.
+   */
   | 'stale';
 
-/** What came of looking at a caller's key. */
+/** Result of checking a caller's key. */
 export type Admission =
-  /** `account` is undefined for routes that need none. */
+  /** `account` is undefined for routes that do not require one. */
   | {readonly kind: 'admitted'; readonly account: ClientAccount | undefined}
   | {readonly kind: 'refused'; readonly reason: AdmissionRefusal};
 
-/** What a {@link CallerAdmission} needs. */
+/** Dependencies of {@link CallerAdmission}. */
 export interface AdmissionContext {
   readonly routing: RoutingState;
   readonly freshness: FreshnessLease;
@@ -39,12 +42,17 @@
   readonly counters: Counters;
 }
 
-const OPEN: Admission = {kind: 'admitted', account: undefined};
-const WITHIN: QuotaVerdict = {kind: 'granted'};
+const ADMITTED_WITHOUT_ACCOUNT: Admission = {
+  kind: 'admitted',
+  account: undefined,
+};
+const WITHIN_QUOTA: QuotaVerdict = {kind: 'granted'};
 
-/** Admits callers of one host. */
+/** Admits the callers of one host. */
 export class CallerAdmission {
-  /** @param context - Accounts, quotas, and how recent the configuration is. */
+  /**
+   * @param context - Accounts, quotas and the freshness of the configuration.
+   */
   constructor(private readonly context: AdmissionContext) {}
 
   /** Whether the configuration has client accounts. */
@@ -52,15 +60,17 @@
     return this.context.routing.current?.table.accounts !== undefined;
   }
 
-  /** Whether callers with keys can be admitted here now. */
+  /** Whether this host can currently admit callers by key. */
   get isOpen(): boolean {
     return !this.inForce || this.context.freshness.isValid;
   }
 
   /**
-   * @param key - As the caller sent it; undefined: none, or no key at all.
-   * @param route - Where the request goes; undefined: to a batch job.
-   * @returns Whose request it is, by what is known at this moment.
+   * @param key - The key that the caller sent; undefined if it is missing or
+   *     malformed.
+   * @param route - Route of the request; undefined for requests of the batch
+   *     API.
+   * @returns The account of the request, or why it is refused.
    */
   admit(key: string | undefined, route: Route | undefined): Admission {
     const admission = this.decide(key, route?.isPublic ?? false);
@@ -71,20 +81,24 @@
   }
 
   /**
-   * @param account - Whose request is about to run.
-   * @returns Whether it is within the account's quota.
+   * @param account - Account of a request that is about to run.
+   * @returns Whether the request is within the account's quota.
    */
   async takeQuota(account: ClientAccount | undefined): Promise<QuotaVerdict> {
-    if (!account?.quota) return WITHIN;
+    if (!account?.quota) return WITHIN_QUOTA;
     return this.context.quotas.take(account.name, account.quota);
   }
 
-  /** @param account - Whose request was within the quota and did not run. */
+  /**
+   * Refunds the quota of a request that was granted and did not run.
+   *
+   * @param account - Account of the request.
+   */
   giveBackQuota(account: ClientAccount | undefined): void {
     if (account?.quota) this.context.quotas.giveBack(account.name);
   }
 
-  /** What has to be known for a log line. */
+  /** Configuration version and age, for log lines. */
   get view() {
     const {freshness, routing} = this.context;
     const ageMs = freshness.ageMs;
@@ -96,10 +110,13 @@
 
   private decide(key: string | undefined, isPublic: boolean): Admission {
     const accounts = this.context.routing.current?.table.accounts;
-    if (!accounts) return OPEN;
+    if (!accounts) return ADMITTED_WITHOUT_ACCOUNT;
     if (key === undefined)
-      return isPublic ? OPEN : {kind: 'refused', reason: 'no-key'};
-    // Whether a key is unknown is a question of freshness, too: it may be new.
+      return isPublic
+        ? ADMITTED_WITHOUT_ACCOUNT
+        : {kind: 'refused', reason: 'no-key'};
+    // An unknown key may be a new one, so a host with a stale configuration
+    // must not report it as unknown.
     const isFresh = this.context.freshness.isValid;
     const account = isFresh ? accounts.ofKey(key) : undefined;
     if (account || isPublic) return {kind: 'admitted', account};
--- a/packages/gateway/src/lib/process/caller_patience.ts
+++ b/packages/gateway/src/lib/process/caller_patience.ts
@@ -1,28 +1,32 @@
 /**
- * Which callers come back after they were turned away. They say with each request
- * how long they will still wait; one that has much less left than the others of
- * its route has spent the rest before. That a caller is merely in a hurry does no
- * harm: what has little time left goes first.
+ * Detects callers that retry after a refusal. Each request carries the time
+ * that its caller is still willing to wait; a caller with much less time left
+ * than others on the same route has spent the difference on an earlier attempt.
+ * A first attempt with a short timeout is misclassified as a retry, which is
+ * harmless: requests with little time left go first.
  */
 
-/** With so much of the usual time left or less, a caller is back, as a share: a
- * return comes after a pause, and what callers say differs by a few percent. */
-const RETURNING_SHARE = 0.96;
+/**
+ * A request counts as a retry if its remaining time is at most this share of
+ * the longest one on its route. A retry follows a pause, while the times that
+ * callers state on a first attempt differ by a few percent.
+ */
+const RETRY_WAIT_SHARE = 0.96;
 
-/** Keeps the longest time that callers wait, by route. */
+/** Tracks the longest time that callers are willing to wait, by route. */
 export class CallerPatience {
-  private readonly longestMs = new Map<string, number>();
+  private readonly longestWaitMs = new Map<string, number>();
 
   /**
    * @param route - The name of the route.
-   * @param waitsMs - How long the caller will wait, in milliseconds; undefined: it
-   *     says nothing.
-   * @returns Whether it seems to have been turned away before.
+   * @param waitsMs - How long the caller is willing to wait, in milliseconds;
+   *     undefined if it does not say.
+   * @returns Whether the request appears to be a retry after a refusal.
    */
   isReturning(route: string, waitsMs: number | undefined): boolean {
     if (waitsMs === undefined) return false;
-    const longest = Math.max(this.longestMs.get(route) ?? 0, waitsMs);
-    this.longestMs.set(route, longest);
-    return waitsMs < longest * RETURNING_SHARE;
+    const longestWaitMs = Math.max(this.longestWaitMs.get(route) ?? 0, waitsMs);
+    this.longestWaitMs.set(route, longestWaitMs);
+    return waitsMs < longestWaitMs * RETRY_WAIT_SHARE;
   }
 }
--- a/packages/gateway/src/lib/process/coordinator.ts
+++ b/packages/gateway/src/lib/process/coordinator.ts
@@ -1,12 +1,14 @@
 /**
- * Places requests of all hosts of a data centre, one after another, on one view of
- * the loads.
+ * Places the requests of all hosts of a data centre one after another, based on
+ * a single view of the loads.
  *
- * Answers bursts on large fleets: fifteen hosts of a data centre that each know what
- * the others sent a tenth of a second ago all choose the target that was free then,
- * and callers wait there while others run empty. The one that coordinates knows at
- * once what it has placed. Any host can: it needs no more than the loads that it
- * hears anyway, and what it has placed is told by those who send it.
+ * Without a coordinator, the hosts of a large data centre (15, for example)
+ * know each other's load as of a tenth of a second ago. In a burst they all
+ * choose the target that was free then, and callers queue there while other
+ * targets are idle. The coordinator accounts for its own placements at once.
+ * Any host can act as coordinator: it needs only the load reports that every
+ * host receives, and the hosts that send the placed requests report them as
+ * part of their load.
  */
 import type {Target} from '../connection/target.js';
 import {targetKey} from '../connection/load_message.js';
@@ -15,62 +17,69 @@
 import type {LoadTable} from './load_table.js';
 import type {TargetChooser} from './target_chooser.js';
 
-/** Items that another host has to end. */
-export interface ItemsToEnd {
+/** Batch items that another host has to preempt. */
+export interface ItemsToPreempt {
   readonly host: string;
   readonly items: number;
 }
 
-/** What was decided. */
-export interface Placed {
-  /** Undefined: none has room now. */
+/** Outcome of a placement request. */
+export interface PlacementDecision {
+  /** The selected target; undefined if none has a free slot. */
   readonly target: Target | undefined;
-  /** Items that hold its place, of hosts other than this one: this one ends its
-   * own as it sees the load. */
-  readonly itemsToEnd: readonly ItemsToEnd[];
+  /**
+   * Items that occupy the slot and belong to hosts other than this one. This
+   * host preempts its own items when it sees the load.
+   */
+  readonly itemsToPreempt: readonly ItemsToPreempt[];
 }
 
-/** What a {@link Coordinator} needs. */
+/** Dependencies of {@link Coordinator}. */
 export interface CoordinatorContext {
-  /** This host's run, as its loads name it. */
+  /** ID of this host's process incarnation, as used in load reports. */
   readonly self: string;
   readonly dataCentre: string;
   readonly chooser: TargetChooser;
   readonly loads: LoadTable;
-  /** A steady clock, in milliseconds. */
+  /** Returns the monotonic time, in milliseconds. */
   readonly now: () => number;
 }
 
-const NONE_TO_END: readonly ItemsToEnd[] = [];
+const NO_ITEMS: readonly ItemsToPreempt[] = [];
 
-/** Decides for other hosts. */
+/** Selects targets on behalf of other hosts. */
 export class Coordinator {
   private readonly avoided: AvoidedTargets;
 
-  /** @param context - What is known of targets and loads. */
+  /** @param context - Target selection and loads. */
   constructor(private readonly context: CoordinatorContext) {
     this.avoided = new AvoidedTargets(context.now);
   }
 
   /**
-   * @param ask - A host's question.
-   * @param dataCentre - Where the host is.
-   * @returns Where to send it; the load counts from now on.
+   * Selects a target and adds the request to the load immediately.
+   *
+   * @param ask - The placement request.
+   * @param dataCentre - Data centre of the requesting host.
+   * @returns The target and the items to preempt there.
    */
-  place({host, service, wish, excluded}: PlaceAsk, dataCentre: string): Placed {
+  place(
+    {host, service, wish, excluded}: PlaceAsk,
+    dataCentre: string,
+  ): PlacementDecision {
     this.avoided.report(host, excluded);
-    const avoided = new Set([...excluded, ...this.avoided.current()]);
+    const avoided = new Set([...excluded, ...this.avoided.avoidedIds()]);
     const target =
       this.choose(service, wish, avoided) ??
       this.choose(service, wish, new Set(excluded));
-    if (!target) return {target, itemsToEnd: NONE_TO_END};
+    if (!target) return {target, itemsToPreempt: NO_ITEMS};
     const key = targetKey(target.id);
     const {loads, dataCentre: own} = this.context;
-    if (dataCentre === own) loads.cause(host, key, wish.lane, 1);
-    else loads.causeFar(dataCentre, key, wish.lane, 1);
-    const itemsToEnd =
-      wish.lane === 'online' ? this.makeRoom(target, key) : NONE_TO_END;
-    return {target, itemsToEnd};
+    if (dataCentre === own) loads.addPendingChange(host, key, wish.lane, 1);
+    else loads.addPendingRemoteChange(dataCentre, key, wish.lane, 1);
+    const itemsToPreempt =
+      wish.lane === 'online' ? this.preemptItems(target, key) : NO_ITEMS;
+    return {target, itemsToPreempt};
   }
 
   private choose(
@@ -80,17 +89,18 @@
   ): Target | undefined {
     const {chooser} = this.context;
     if (wish.lane === 'batch')
-      return chooser.forItemOfDataCentre(service, wish.pressure, excluded);
+      return chooser.forCoordinatedItem(service, wish.pressure, excluded);
     return wish.near
-      ? chooser.forRequestNear(service, wish.demand, excluded)
+      ? chooser.forLocalRequest(service, wish.demand, excluded)
       : chooser.forRequest(service, wish.demand, excluded);
   }
 
-  private makeRoom(target: Target, key: string): readonly ItemsToEnd[] {
+  private preemptItems(target: Target, key: string): readonly ItemsToPreempt[] {
     const {chooser, loads, self} = this.context;
-    const shares = [...chooser.itemsToYieldByHost(target, self)];
+    const shares = [...chooser.itemsToPreemptByHost(target, self)];
     const others = shares.filter(([host]) => host !== self);
-    for (const [host, items] of others) loads.cause(host, key, 'batch', -items);
+    for (const [host, items] of others)
+      loads.addPendingChange(host, key, 'batch', -items);
     return others.map(([host, items]) => ({host, items}));
   }
 }
--- a/packages/gateway/src/lib/process/crash_suspects.ts
+++ b/packages/gateway/src/lib/process/crash_suspects.ts
@@ -1,15 +1,15 @@
 /**
- * Requests that seem to crash the targets that run them.
+ * Detects poison requests, which crash the targets that run them.
  *
- * Guards against a request that takes down one target after another: its run
- * ends with a broken connection before anything was answered, its caller sends
- * it again to any host, and each run costs a target and all that runs on it.
- * The targets at which runs ended so are kept by what is asked, in the store, so
- * that all hosts know; after three of them the request is not sent any more. An
- * innocent request that ran beside it is counted, too, but its next run succeeds,
- * which clears it. A target counts once: one that crashed is back as another run
- * of its server, so that several breaks at one run are lost answers of a target
- * that lives.
+ * The run of such a request ends with a broken connection before any response.
+ * Its caller then sends it again to any host, and each run costs a target and
+ * all other requests on it. The targets at which runs of a request broke off
+ * are recorded by fingerprint of the request in the store, so that all hosts
+ * know them; after three targets the request is blocked. A harmless request
+ * that ran beside it is recorded as well, but its next run succeeds and clears
+ * the record. Each target counts once: a server that crashed comes back as a
+ * new incarnation, and thus as another target, so several broken runs at one
+ * target are lost responses of a target that is alive.
  */
 import {fingerprint, type Clock, type EventLog} from '@oathead/core';
 import {
@@ -21,13 +21,13 @@
 import {z} from 'zod';
 import type {TargetDirectory} from './target_directory.js';
 
-/** The table of suspects, by fingerprint. */
+/** Table of suspects, with the request fingerprint as key. */
 export const SUSPECT_TABLE = 'suspects';
 
 const SUSPECT = z.object({
-  /** Targets at which a run broke off; see `Target.id`. */
+  /** IDs of targets at which a run broke off; see `Target.id`. */
   targets: z.array(z.string()),
-  /** When the last run did, on the store's clock in milliseconds. */
+  /** Time of the last such run, in store time in milliseconds. */
   at: z.number(),
 });
 interface Suspect {
@@ -35,51 +35,66 @@
   readonly at: number;
 }
 
-/** At so many targets runs may break off: two could fail by themselves. */
+/**
+ * Number of targets that block a request. Two targets may fail for other
+ * reasons.
+ */
 const TARGETS_TO_BLOCK = 3;
-/** A suspect is forgotten after so long, in milliseconds: time for the targets
- * to be back, and then one run to see whether it crashes them still. */
+/**
+ * Lifetime of a suspect, in milliseconds: long enough for the crashed targets
+ * to be back before a new run shows whether the request still crashes them.
+ */
 const SUSPECT_LIFETIME_MS = 60_000;
-/** Suspects that are remembered at the most. */
+/** Maximum number of suspects in memory. */
 const MAX_SUSPECTS = 4096;
 
-/** Until hosts have read that an entry has lapsed, in milliseconds: the waits and
- * pauses of the list's readers, doubled, and a second for a slow store. */
-const LIST_MARGIN_MS = 2700;
+/**
+ * Time until all hosts have read that an entry has expired, in milliseconds:
+ * twice the long-poll and retry delays of the readers of the list, plus one
+ * second for a slow store.
+ */
+const LIST_READ_MARGIN_MS = 2700;
 
-/** What {@link CrashSuspects} need. */
-export interface SuspectContext {
+/** Dependencies of {@link CrashSuspects}. */
+export interface CrashSuspectsContext {
   readonly store: RowStore;
   readonly clock: Clock;
   readonly log: EventLog;
-  /** Tells which runs of targets are listed. */
+  /** Tells which targets are listed. */
   readonly directory: Pick<TargetDirectory, 'isListedFor'>;
-  /** @returns Until the entry of a target that crashed lapses, in milliseconds. */
+  /**
+   * @returns Time until the entry of a crashed target expires, in milliseconds.
+   */
   readonly lapseMs: () => number;
 }
 
-/** Counts runs that broke off before an answer. */
+/** Tracks requests whose runs broke off before a response. */
 export class CrashSuspects {
   private readonly suspects = new Map<string, Suspect>();
-  /** When items that are blocked were last sent once more, by fingerprint. */
-  private readonly triedAgainAt = new Map<string, number>();
+  /**
+   * Time at which a blocked item was last given another run, by fingerprint.
+   */
+  private readonly lastExtraRunAt = new Map<string, number>();
 
-  /** @param context - The store in which hosts share what they know. */
-  constructor(private readonly context: SuspectContext) {}
+  /**
+   * @param context - The store through which hosts share suspects, and the
+   *     target list.
+   */
+  constructor(private readonly context: CrashSuspectsContext) {}
 
-  /** @returns What names a request by what it asks. */
+  /** @returns The fingerprint of a request, derived from its path and body. */
   static fingerprintOf(path: string, body: Uint8Array): string {
     return fingerprint(`${path}\n${Buffer.from(body).toString('latin1')}`);
   }
 
-  /** @returns Whether the request is not to be sent any more. */
-  isBlocked(print: string): boolean {
-    const suspect = this.suspects.get(print);
+  /** @returns Whether the request must not be sent. */
+  isBlocked(requestFingerprint: string): boolean {
+    const suspect = this.suspects.get(requestFingerprint);
     if (!suspect || suspect.targets.length < TARGETS_TO_BLOCK) return false;
     const sinceMs = this.now() - suspect.at;
     if (sinceMs >= SUSPECT_LIFETIME_MS) return false;
     const {directory} = this.context;
-    const knownAfterMs = this.knownAfterMs();
+    const knownAfterMs = this.expiryKnownAfterMs();
     if (sinceMs < knownAfterMs) return true;
     const crashed = suspect.targets.filter(
       id => !directory.isListedFor(id, knownAfterMs),
@@ -88,44 +103,56 @@
   }
 
   /**
-   * Guards against an innocent item that is held for a minute, and late: three
-   * targets crashed for other reasons while it ran on them, and nothing that a
-   * host sees tells it from an item that crashes targets. One run more does, and
-   * costs a target at the most: only the item's owner asks, and a fourth target
-   * that is lost with it blocks it for good.
+   * Whether a batch item is blocked. A blocked item gets one more run.
+   *
+   * If three targets crashed for other reasons while a harmless item ran on
+   * them, a host cannot tell it from a poison request, and the item would be
+   * delayed by a minute. One more run decides, at the cost of one target at
+   * most: only the owner of the item starts it, and if a fourth target is lost,
+   * the item stays blocked.
    *
-   * @param print - An item.
-   * @returns Whether it may not be started: it is blocked, and its one further run
-   *     is over or not due yet.
+   * @param requestFingerprint - Fingerprint of an item.
+   * @returns Whether the item must not be started, because it is blocked and
+   *     its additional run has been used or is not due yet.
    */
-  isItemBlocked(print: string): boolean {
-    if (!this.isBlocked(print)) return false;
-    const {targets, at} = this.suspects.get(print)!;
-    const lastRunAt = Math.max(at, this.triedAgainAt.get(print) ?? 0);
-    const isDue = this.now() - lastRunAt >= this.knownAfterMs();
+  isItemBlocked(requestFingerprint: string): boolean {
+    if (!this.isBlocked(requestFingerprint)) return false;
+    const {targets, at} = this.suspects.get(requestFingerprint)!;
+    const lastRunAt = Math.max(
+      at,
+      this.lastExtraRunAt.get(requestFingerprint) ?? 0,
+    );
+    const isDue = this.now() - lastRunAt >= this.expiryKnownAfterMs();
     return targets.length > TARGETS_TO_BLOCK || !isDue;
   }
 
-  /** @param print - An item that is started. */
-  startsItem(print: string): void {
-    if (!this.isBlocked(print)) return;
-    this.triedAgainAt.set(print, this.now());
-    this.context.log.event('suspect-tried-again', {fingerprint: print});
+  /** @param requestFingerprint - Fingerprint of an item that is started. */
+  startsItem(requestFingerprint: string): void {
+    if (!this.isBlocked(requestFingerprint)) return;
+    this.lastExtraRunAt.set(requestFingerprint, this.now());
+    this.context.log.event('suspect-tried-again', {
+      fingerprint: requestFingerprint,
+    });
   }
 
   /**
-   * @param print - A request whose run broke off before any answer.
-   * @param targetId - Where it ran.
+   * @param requestFingerprint - Fingerprint of a request whose run broke off
+   *     before any response.
+   * @param targetId - ID of the target of the run.
    */
-  broke(print: string, targetId: string): void {
-    const known = this.suspects.get(print)?.targets ?? [];
+  broke(requestFingerprint: string, targetId: string): void {
+    const known = this.suspects.get(requestFingerprint)?.targets ?? [];
     if (known.includes(targetId)) return;
     const suspect = {targets: [...known, targetId], at: this.now()};
-    this.remember(print, suspect);
+    this.setSuspect(requestFingerprint, suspect);
     const {targets} = suspect;
-    this.context.log.event('request-suspect', {fingerprint: print, targets});
-    const ref = {table: SUSPECT_TABLE, partition: '', key: print};
-    // Without an answer the other hosts learn of it by their own next run.
+    this.context.log.event('request-suspect', {
+      fingerprint: requestFingerprint,
+      targets,
+    });
+    const ref = {table: SUSPECT_TABLE, partition: '', key: requestFingerprint};
+    // If the write fails, the other hosts learn of the suspect through broken
+    // runs of their own.
     void this.context.store.transact({
       expect: [],
       puts: [{...ref, value: encodeJson(suspect)}],
@@ -133,13 +160,13 @@
     });
   }
 
-  /** @param print - A request that was answered. */
-  answered(print: string): void {
-    this.suspects.delete(print);
-    this.triedAgainAt.delete(print);
+  /** @param requestFingerprint - Fingerprint of a request that was answered. */
+  answered(requestFingerprint: string): void {
+    this.suspects.delete(requestFingerprint);
+    this.lastExtraRunAt.delete(requestFingerprint);
   }
 
-  /** @param update - What the watch of {@link SUSPECT_TABLE} has brought. */
+  /** @param update - Changes of {@link SUSPECT_TABLE}. */
   update({put}: TableUpdate): void {
     for (const {key, value} of put) {
       const suspect = decodeJson(value, SUSPECT);
@@ -152,27 +179,33 @@
     }
   }
 
-  /** Two hosts may write at once, each what it knows. */
-  private merge(print: string, heard: Suspect): void {
-    const known = this.suspects.get(print);
-    const targets = new Set([...(known?.targets ?? []), ...heard.targets]);
+  /**
+   * Forms the union of the targets, because two hosts may write a suspect
+   * concurrently, each with only the targets that it knows.
+   */
+  private merge(requestFingerprint: string, reported: Suspect): void {
+    const known = this.suspects.get(requestFingerprint);
+    const targets = new Set([...(known?.targets ?? []), ...reported.targets]);
     if (targets.size === known?.targets.length) return;
-    const at = Math.max(known?.at ?? 0, heard.at);
-    this.remember(print, {targets: [...targets], at});
+    const at = Math.max(known?.at ?? 0, reported.at);
+    this.setSuspect(requestFingerprint, {targets: [...targets], at});
   }
 
-  private remember(print: string, suspect: Suspect): void {
-    this.suspects.delete(print);
-    this.suspects.set(print, suspect);
+  private setSuspect(requestFingerprint: string, suspect: Suspect): void {
+    this.suspects.delete(requestFingerprint);
+    this.suspects.set(requestFingerprint, suspect);
     if (this.suspects.size <= MAX_SUSPECTS) return;
     const [oldest] = this.suspects.keys();
     this.suspects.delete(oldest!);
-    this.triedAgainAt.delete(oldest!);
+    this.lastExtraRunAt.delete(oldest!);
   }
 
-  /** Until every host knows whether a target's entry lapsed, in milliseconds. */
-  private knownAfterMs(): number {
-    return this.context.lapseMs() + LIST_MARGIN_MS;
+  /**
+   * Time until every host knows whether the entry of a crashed target has
+   * expired, in milliseconds.
+   */
+  private expiryKnownAfterMs(): number {
+    return this.context.lapseMs() + LIST_READ_MARGIN_MS;
   }
 
   private now(): number {
--- a/packages/gateway/src/lib/process/front_server.ts
+++ b/packages/gateway/src/lib/process/front_server.ts
@@ -1,4 +1,4 @@
-/** The server that callers connect to. */
+/** HTTP server that callers connect to. */
 import {
   createServer,
   type IncomingMessage,
@@ -14,57 +14,63 @@
 import type {RoutingState} from '../version/routing_state.js';
 import type {CallerBounds, Route} from '../version/routing_table.js';
 
-/** A request with what the configuration says of it. */
+/** A request together with the configuration that applies to it. */
 export interface RoutedRequest {
   readonly req: IncomingMessage;
   readonly res: ServerResponse;
   readonly matcher: RouteMatcher;
   readonly route: Route | undefined;
-  /** Whose request it is; undefined where none is needed. */
+  /** Account of the caller; undefined if the route does not require one. */
   readonly account: ClientAccount | undefined;
 }
 
-/** Takes requests that are not online ones; the batch interface. */
+/** Handles the requests of the batch API. */
 export interface BatchFront {
-  /** @returns Whether the request is one of the batch interface. */
+  /** @returns Whether the request belongs to the batch API. */
   accepts(request: Omit<RoutedRequest, 'account'>): boolean;
   /**
    * Answers such a request; never rejects.
    *
    * @param request - The request.
-   * @param body - Its body, whole.
+   * @param body - Its complete body.
    */
   handle(request: RoutedRequest, body: Buffer): Promise<void>;
 }
 
-/** An answer of the host's own, to a request that has not run. */
+/** An error response from the host itself, to a request that has not run. */
 interface Refusal {
   readonly status: number;
   readonly reason: string;
-  /** When to come back, in milliseconds. */
+  /** Delay after which the caller should retry, in milliseconds. */
   readonly returnAfterMs?: number;
   readonly account?: string;
 }
 
-/** What a {@link FrontServer} needs. */
-export interface FrontContext {
+/** Dependencies of {@link FrontServer}. */
+export interface FrontServerContext {
   readonly online: OnlineContext;
   readonly routing: RoutingState;
   readonly batch: BatchFront;
   readonly log: EventLog;
-  /** Whether a planned stop is under way. */
+  /** Whether a planned shutdown is in progress. */
   readonly draining: () => boolean;
 }
 
-/** How much longer than the callers' bound an unused connection is kept, in
- * milliseconds: a request that is on its way is not met by a close. */
+/**
+ * Margin by which an idle connection is kept open beyond the idle timeout that
+ * callers use, in milliseconds, so that a request in transit does not meet a
+ * closed connection.
+ */
 const IDLE_MARGIN_MS = 1000;
-/** For a client that never finishes its request, in milliseconds. */
+/** Timeout for clients that never complete their request, in milliseconds. */
 const REQUEST_TIMEOUT_MS = 30_000;
 const MAX_HEADER_BYTES = 64 * 1024;
-/** When to ask again, elsewhere, after a host that has not heard from the store for
- * too long, in milliseconds: at once. */
-const STALE_RETURN_MS = 50;
+/**
+ * Retry delay for callers of a host whose configuration is stale, in
+ * milliseconds. It is short because the caller can retry at another host
+ * immediately.
+ */
+const STALE_RETRY_DELAY_MS = 50;
 const STATUS_UNAUTHORIZED = 401;
 const STATUS_NOT_FOUND = 404;
 const STATUS_TOO_LARGE = 413;
@@ -74,16 +80,16 @@
 const NO_CONFIG: Refusal = {status: STATUS_UNAVAILABLE, reason: 'no config'};
 const NO_ROUTE: Refusal = {status: STATUS_NOT_FOUND, reason: 'no route'};
 
-/** A request and where its answer goes. */
+/** A request and its response. */
 type Call = Pick<RoutedRequest, 'req' | 'res'>;
 
-/** Serves callers until closed. */
+/** Serves callers until it is closed. */
 export class FrontServer {
   private readonly server: Server;
-  private open = 0;
+  private openCount = 0;
 
-  /** @param context - Routes, targets, and the batch interface. */
-  constructor(private readonly context: FrontContext) {
+  /** @param context - Routes, targets and the batch API. */
+  constructor(private readonly context: FrontServerContext) {
     this.server = createServer(
       {maxHeaderSize: MAX_HEADER_BYTES, requestTimeout: REQUEST_TIMEOUT_MS},
       (req, res) => void this.handle(req, res),
@@ -94,17 +100,19 @@
       });
       socket.destroy();
     });
-    context.routing.onAdopted(table => this.bound(table.bounds));
+    context.routing.onAdopted(table => this.applyLimits(table.bounds));
   }
 
-  /** Requests under way. */
+  /** Number of requests in progress. */
   get openRequests(): number {
-    return this.open;
+    return this.openCount;
   }
 
   /**
-   * @param ip - Where to listen.
-   * @param port - Where to listen.
+   * @param ip - IP address to listen on.
+   * @param port - Port to listen on.
+   * @returns Resolves when the server listens; rejects if the address is
+   *     unavailable.
    */
   listen(ip: string, port: number): Promise<void> {
     return new Promise((resolve, reject) => {
@@ -113,30 +121,31 @@
     });
   }
 
-  /** Closes connections on which nothing was asked. */
+  /** Closes connections without a request in progress. */
   closeIdle(): void {
     this.server.closeIdleConnections();
   }
 
   /**
-   * Takes no new connections; those that are open stay.
+   * Stops accepting connections; open ones stay.
    *
-   * Guards against a planned stop that never comes to its end and then cuts what
-   * is under way: a balancer that has not seen the readiness goes on bringing
-   * connections, and there is always a request open. A connection that is refused
-   * has asked nothing, so that its caller can ask elsewhere at once.
+   * A load balancer that has not noticed the changed readiness keeps opening
+   * connections. If these were accepted, there would always be a request in
+   * progress, and a planned shutdown would run into its time limit and abort
+   * requests. A refused connection has carried no request, so its caller can
+   * safely retry elsewhere.
    */
   stopListening(): void {
     if (this.server.listening) this.server.close();
   }
 
-  /** Closes everything. */
+  /** Closes the server and all its connections. */
   close(): void {
     this.server.close();
     this.server.closeAllConnections();
   }
 
-  private bound(bounds: CallerBounds): void {
+  private applyLimits(bounds: CallerBounds): void {
     this.server.keepAliveTimeout = bounds.idleTimeoutMs + IDLE_MARGIN_MS;
     this.server.headersTimeout = bounds.headerTimeoutMs + IDLE_MARGIN_MS;
   }
@@ -145,9 +154,10 @@
     req: IncomingMessage,
     res: ServerResponse,
   ): Promise<void> {
-    this.open++;
-    res.on('close', () => this.open--);
-    // A connection that is told so opens no further request on this host.
+    this.openCount++;
+    res.on('close', () => this.openCount--);
+    // Makes the client send its next request on a new connection, to another
+    // host.
     if (this.context.draining()) res.setHeader('connection', 'close');
     const matcher = this.context.routing.current;
     if (!matcher) return this.refuse({req, res}, NO_CONFIG);
@@ -159,18 +169,21 @@
     const {key} = protocol.readRequest(req.headers);
     const admitted = admission.admit(key, route);
     if (admitted.kind === 'refused')
-      return this.turnAway(found, admitted.reason);
+      return this.refuseUnadmitted(found, admitted.reason);
     const routed: RoutedRequest = {...found, account: admitted.account};
     if (isBatch || !route) return this.handleBatch(routed, matcher);
     return this.handleOnline(routed, route, matcher);
   }
 
-  /** A host that can't say whose key it is sends the caller to another one. */
-  private turnAway(call: Call, reason: AdmissionRefusal): void {
+  /**
+   * Sends the caller to another host if the configuration of this one is too
+   * old to authenticate it.
+   */
+  private refuseUnadmitted(call: Call, reason: AdmissionRefusal): void {
     if (reason !== 'stale')
       return this.refuse(call, {status: STATUS_UNAUTHORIZED, reason});
     call.res.setHeader('connection', 'close');
-    const returnAfterMs = STALE_RETURN_MS;
+    const returnAfterMs = STALE_RETRY_DELAY_MS;
     this.refuse(call, {status: STATUS_UNAVAILABLE, reason, returnAfterMs});
   }
 
@@ -178,7 +191,7 @@
     routed: RoutedRequest,
     matcher: RouteMatcher,
   ): Promise<void> {
-    const body = await this.bodyOf(routed, matcher);
+    const body = await this.readBodyOrRefuse(routed, matcher);
     if (body) await this.context.batch.handle(routed, body);
   }
 
@@ -188,7 +201,7 @@
     matcher: RouteMatcher,
   ): Promise<void> {
     const startedAt = this.context.online.clock.now();
-    const body = await this.bodyOf(routed, matcher);
+    const body = await this.readBodyOrRefuse(routed, matcher);
     if (!body) return;
     const {online} = this.context;
     const {req, res, account} = routed;
@@ -204,8 +217,11 @@
     await new OnlineRequest(online, admitted).serve();
   }
 
-  /** @returns The body; undefined when there is none to go on with. */
-  private async bodyOf(
+  /**
+   * @returns The request body; undefined if it could not be read. A body that
+   *     is too large is answered with an error.
+   */
+  private async readBodyOrRefuse(
     call: Call,
     matcher: RouteMatcher,
   ): Promise<Buffer | undefined> {
--- a/packages/gateway/src/lib/process/home_targets.ts
+++ b/packages/gateway/src/lib/process/home_targets.ts
@@ -1,65 +1,75 @@
 /**
- * Which targets a host fills with batch items first.
+ * Selects the targets that a host fills with batch items first.
  *
- * Guards against hosts that all see the same free place and all take it: loads
- * are told some ten times a second at the most, and with many hosts less often,
- * so that each free place drew several items, most of which had to give way at
- * once. Each host has a few targets of its own choice, and each target a few
- * hosts, however many there are.
+ * Loads are reported about ten times a second at most, and less often with many
+ * hosts. If every host considered all targets, all of them would see the same
+ * free slot and send an item to it, and most of these items would be preempted
+ * at once. Each host therefore prefers a few targets, and each target is
+ * preferred by a few hosts, whatever the number of hosts.
  */
 import {rendezvous} from '@oathead/core';
 import type {Target} from '../connection/target.js';
 
-/** How many hosts fill a target: one that is lost or has no items to run leaves
- * others. */
+/**
+ * Number of hosts that prefer a target. If one of them fails or has no items to
+ * run, others still fill the target.
+ */
 const HOSTS_PER_TARGET = 8;
-/** So many targets a host has at the least: a job of ten items finds room. */
-const LEAST_TARGETS = 8;
+/**
+ * Minimum number of preferred targets of a host, so that a job of ten items
+ * finds free slots.
+ */
+const MIN_PREFERRED_TARGETS = 8;
 
-/** What a {@link HomeTargets} needs. */
+/** Dependencies of {@link HomeTargets}. */
 export interface HomeTargetsContext {
-  /** This host. */
+  /** ID of this host. */
   readonly self: string;
   readonly dataCentre: string;
-  /** @returns How many hosts are live, this one included. */
+  /** @returns Number of live hosts, including this one. */
   readonly hosts: () => number;
 }
 
-interface Known {
+interface CachedSelection {
   readonly hosts: number;
-  readonly homes: readonly Target[];
+  readonly preferred: readonly Target[];
 }
 
-/** Chooses a host's own targets among those of a service. */
+/** Selects and caches the preferred targets of a host. */
 export class HomeTargets {
-  private readonly known = new WeakMap<readonly Target[], Known>();
+  private readonly cache = new WeakMap<readonly Target[], CachedSelection>();
 
-  /** @param context - This host, and how many there are. */
+  /** @param context - This host and the number of live hosts. */
   constructor(private readonly context: HomeTargetsContext) {}
 
   /**
-   * @param targets - All targets of a service; the same list until it changes.
-   * @returns Those that this host fills first, near ones before others.
+   * @param targets - All targets of a service. The result is cached by array
+   *     identity, so the same array must be passed until its content changes.
+   * @returns The targets that this host fills first, local ones before remote
+   *     ones.
    */
-  among(targets: readonly Target[]): readonly Target[] {
+  select(targets: readonly Target[]): readonly Target[] {
     const hosts = this.context.hosts();
-    const known = this.known.get(targets);
-    if (known?.hosts === hosts) return known.homes;
-    const homes = this.choose(targets, hosts);
-    this.known.set(targets, {hosts, homes});
-    return homes;
+    const cached = this.cache.get(targets);
+    if (cached?.hosts === hosts) return cached.preferred;
+    const preferred = this.selectPreferred(targets, hosts);
+    this.cache.set(targets, {hosts, preferred});
+    return preferred;
   }
 
-  private choose(targets: readonly Target[], hosts: number): readonly Target[] {
+  private selectPreferred(
+    targets: readonly Target[],
+    hosts: number,
+  ): readonly Target[] {
     const share = Math.ceil((targets.length * HOSTS_PER_TARGET) / hosts);
-    const count = Math.max(LEAST_TARGETS, share);
+    const count = Math.max(MIN_PREFERRED_TARGETS, share);
     if (count >= targets.length) return targets;
     const byId = new Map(targets.map(target => [target.id, target]));
     const order = rendezvous(this.context.self, [...byId.keys()]);
-    const isNear = (id: string) =>
+    const isLocal = (id: string) =>
       byId.get(id)!.dataCentre === this.context.dataCentre;
-    const near = order.filter(isNear);
-    const far = order.filter(id => !isNear(id));
-    return [...near, ...far].slice(0, count).map(id => byId.get(id)!);
+    const local = order.filter(isLocal);
+    const remote = order.filter(id => !isLocal(id));
+    return [...local, ...remote].slice(0, count).map(id => byId.get(id)!);
   }
 }
--- a/packages/gateway/src/lib/process/lifecycle.ts
+++ b/packages/gateway/src/lib/process/lifecycle.ts
@@ -1,16 +1,18 @@
-/** The states of a process: when it takes requests, and when it may end. */
+/**
+ * State machine of the process: when it accepts requests and when it may exit.
+ */
 import {createActor, setup} from 'xstate';
 
-/** What makes a process change its state. */
+/** Events that trigger state transitions. */
 export type LifecycleEvent =
-  /** Configuration and targets are known. */
+  /** The configuration and the targets are known. */
   | {readonly type: 'PREPARED'}
-  /** A planned stop was asked for. */
+  /** A planned shutdown was requested. */
   | {readonly type: 'STOP'}
-  /** Nothing is under way any more, or the time for it is over. */
+  /** No requests are in progress, or the drain timeout has expired. */
   | {readonly type: 'IDLE'};
 
-/** The states, in the order in which they are passed. */
+/** States, in the order in which they are entered. */
 export type LifecycleState = 'starting' | 'ready' | 'draining' | 'stopped';
 
 const machine = setup({types: {events: {} as LifecycleEvent}}).createMachine({
@@ -24,11 +26,13 @@
   },
 });
 
-/** Keeps the state of a process. */
+/** Tracks the state of a process. */
 export class Lifecycle implements Disposable {
   private readonly actor = createActor(machine);
 
-  /** @param onChange - Called with each new state, the first one included. */
+  /**
+   * @param onChange - Called with each new state, including the initial one.
+   */
   constructor(onChange: (state: LifecycleState) => void) {
     let last: LifecycleState | undefined;
     this.actor.subscribe(({value}) => {
@@ -39,17 +43,17 @@
     this.actor.start();
   }
 
-  /** The state now. */
+  /** Current state. */
   get state(): LifecycleState {
     return this.actor.getSnapshot().value as LifecycleState;
   }
 
-  /** @param event - What has happened. */
+  /** @param event - The event to process. */
   send(event: LifecycleEvent): void {
     this.actor.send(event);
   }
 
-  /** Ends the machine. */
+  /** Stops the state machine. */
   [Symbol.dispose](): void {
     this.actor.stop();
   }
--- a/packages/gateway/src/lib/process/load_table.ts
+++ b/packages/gateway/src/lib/process/load_table.ts
@@ -1,225 +1,271 @@
 /**
- * How many requests are in flight at each target: this host's own, and what other
- * hosts and whole data centres have last told of theirs. Their sum stands in for
- * probes of the target, which cost it a slot.
+ * Requests in flight at each target: those of this host, and those that other
+ * hosts and data centres have last reported. Their sum replaces load probes of
+ * the targets, each of which would occupy a slot.
  */
-import {CausedLoads} from './caused_loads.js';
+import {PendingLoads} from './pending_loads.js';
 
-/** Online requests go before items of batch jobs. */
+/** Traffic class. Online requests have priority over items of batch jobs. */
 export type Lane = 'online' | 'batch';
 
-/** Requests in flight at one target. */
+/** Number of requests in flight at one target. */
 export interface TargetLoad {
   readonly online: number;
   readonly batch: number;
 }
 
-/** One host's requests in flight at one target. */
+/** Number of requests of one host in flight at one target. */
 export interface HostTargetLoad extends TargetLoad {
-  /** Of its batch items, those that give way last; left out: none. */
+  /**
+   * Number of batch items that are nearly completed and therefore preempted
+   * last; 0 if omitted.
+   */
   readonly nearlyDone?: number;
 }
 
-/** One host's requests in flight, by target. */
+/** Requests of one host in flight, by load key of the target. */
 export type HostLoad = ReadonlyMap<string, HostTargetLoad>;
 
-/** What another host, or a host of another data centre for all of it, said. */
-interface HeardLoad {
+/**
+ * Last report of another host, or the sum that another data centre has
+ * reported.
+ */
+interface ReportedLoad {
   readonly load: HostLoad;
-  readonly heardAt: number;
+  readonly receivedAt: number;
 }
 
-/** The loads of all hosts of a data centre, as one of them knows them. */
+/** Sum of the loads of all hosts of a data centre, as known to one of them. */
 export interface DataCentreLoad {
   readonly dataCentre: string;
-  /** How many hosts the sum is over. */
+  /** Number of hosts in the sum. */
   readonly hosts: number;
   readonly load: HostLoad;
 }
 
-interface HeardDataCentre extends HeardLoad {
+interface ReportedDataCentre extends ReportedLoad {
   readonly hosts: number;
 }
 
-/** A host that has said nothing for so long counts as idle, in milliseconds:
- * three of the messages that are sent while nothing changes. */
-export const LOAD_LIFETIME_MS = 3000;
-/** A sum over less than this share of the hosts of the sum before is dropped. */
-const LEAST_SUM_SHARE = 0.75;
-/** A sum is kept against one over far fewer hosts for so long, in milliseconds:
- * three of the times at which sums are told. */
-const SUM_KEPT_MS = 1000;
-/** What a host tells so long after something was caused there tells of it, too, in
- * milliseconds: some round trips inside a data centre. */
-const TOLD_AFTER_MS = 30;
-/** What another data centre tells so long after something was caused by it tells of
- * it, too, in milliseconds: its coordinator has heard of it by then. */
-const FAR_TOLD_AFTER_MS = 80;
-/** Until something caused counts as told in any case, in milliseconds. */
-const CAUSED_LIFETIME_MS = 500;
+/**
+ * Time without a report after which a host counts as idle, in milliseconds:
+ * three of the reports that are sent while the load does not change.
+ */
+export const LOAD_REPORT_LIFETIME_MS = 3000;
+/**
+ * A sum is ignored if it covers less than this share of the hosts of the sum
+ * before it; see {@link SUM_PRECEDENCE_MS}.
+ */
+const MIN_SUM_HOSTS_SHARE = 0.75;
+/**
+ * How long a sum takes precedence over one that covers far fewer hosts, in
+ * milliseconds: three of the intervals at which sums are reported.
+ */
+const SUM_PRECEDENCE_MS = 1000;
+/**
+ * A host's report includes the pending changes that are at least this old, in
+ * milliseconds: some round trips inside a data centre.
+ */
+const REPORTED_AFTER_MS = 30;
+/**
+ * The report of another data centre includes the pending changes that are at
+ * least this old, in milliseconds. By then its coordinator has received them.
+ */
+const REMOTE_REPORTED_AFTER_MS = 80;
+/** Age at which a pending change is dropped in any case, in milliseconds. */
+const PENDING_LIFETIME_MS = 500;
 
 const NO_LOAD: TargetLoad = {online: 0, batch: 0};
 
-/** Loads by target, kept up to date by {@link begin} and {@link hear}. */
+/**
+ * Loads by target, kept up to date by {@link begin} and {@link applyReport}.
+ */
 export class LoadTable {
   private readonly own = new Map<string, HostTargetLoad>();
-  private readonly others = new Map<string, HeardLoad>();
-  private readonly dataCentres = new Map<string, HeardDataCentre>();
-  private readonly caused = new CausedLoads();
-  private readonly causedFar = new CausedLoads();
+  private readonly otherHosts = new Map<string, ReportedLoad>();
+  private readonly dataCentres = new Map<string, ReportedDataCentre>();
+  private readonly pending = new PendingLoads();
+  private readonly pendingRemote = new PendingLoads();
   private readonly totals = new Map<string, TargetLoad>();
   private readonly listeners: Array<() => void> = [];
 
-  /** @param now - A steady clock, in milliseconds. */
+  /** @param now - Returns the monotonic time, in milliseconds. */
   constructor(private readonly now: () => number) {}
 
-  /** @param listener - Called whenever a load may have gone down or up. */
+  /** @param listener - Called whenever a load may have changed. */
   onChange(listener: () => void): void {
     this.listeners.push(listener);
   }
 
   /**
-   * @param targetKey - Where a request goes.
-   * @param lane - Which lane it is of.
-   * @returns To be disposed when the request has ended.
+   * Counts a request of this host.
+   *
+   * @param targetKey - Load key of the target.
+   * @param lane - Lane of the request.
+   * @returns Ends the count of the request when disposed.
    */
   begin(targetKey: string, lane: Lane): Disposable {
-    this.add(targetKey, lane, 1);
-    // An item beside it may have to give way at once.
-    if (lane === 'online') this.changed();
+    this.countOwn(targetKey, lane, 1);
+    // A batch item at this target may have to be preempted at once.
+    if (lane === 'online') this.notifyListeners();
     return {
       [Symbol.dispose]: () => {
-        this.add(targetKey, lane, -1);
-        this.changed();
+        this.countOwn(targetKey, lane, -1);
+        this.notifyListeners();
       },
     };
   }
 
   /**
-   * @param targetKey - A target with items of this host.
-   * @param nearlyDone - How many of them give way last.
+   * @param targetKey - Load key of a target with batch items of this host.
+   * @param nearlyDone - How many of them are nearly completed.
    */
   markNearlyDone(targetKey: string, nearlyDone: number): void {
     const own = this.own.get(targetKey);
     if (own) this.own.set(targetKey, {...own, nearlyDone});
   }
 
-  /** This host's own requests in flight; targets without any are left out. */
+  /** Requests of this host in flight; targets without any are omitted. */
   get ownLoad(): HostLoad {
     return this.own;
   }
 
   /**
-   * @param host - Who says it.
+   * Replaces the load of another host by its latest report.
+   *
+   * @param host - ID of the host.
    * @param load - All its requests in flight.
    */
-  hear(host: string, load: HostLoad): void {
-    this.settle(this.caused, host, TOLD_AFTER_MS);
-    this.unsay(this.others.get(host));
-    this.others.set(host, {load, heardAt: this.now()});
-    this.say(load);
+  applyReport(host: string, load: HostLoad): void {
+    this.removePending(this.pending, host, REPORTED_AFTER_MS);
+    this.subtractFromTotals(this.otherHosts.get(host));
+    this.otherHosts.set(host, {load, receivedAt: this.now()});
+    this.addToTotals(load);
   }
 
   /**
-   * Counts what another host is about to begin or to end, until it tells so.
+   * Adds a pending change, which counts until the host reports it.
    *
-   * @param host - Which host was told to.
-   * @param targetKey - Where.
-   * @param lane - Which lane it is of.
-   * @param by - How many requests begin; negative: end.
+   * @param host - ID of the host that starts or ends the requests.
+   * @param targetKey - Load key of the target.
+   * @param lane - Lane of the requests.
+   * @param by - Number of requests that start; negative if they end.
    */
-  cause(host: string, targetKey: string, lane: Lane, by: number): void {
-    this.note(this.caused, host, targetKey, lane, by);
+  addPendingChange(
+    host: string,
+    targetKey: string,
+    lane: Lane,
+    by: number,
+  ): void {
+    this.recordPendingChange(this.pending, host, targetKey, lane, by);
   }
 
   /**
-   * The same for a host of another data centre, until that tells its sum.
+   * Adds a pending change by a host of another data centre, which counts until
+   * the sum of that data centre includes it.
    *
-   * @param dataCentre - Where the host is.
-   * @param targetKey - Where the request goes.
-   * @param lane - Which lane it is of.
-   * @param by - How many requests begin; negative: end.
+   * @param dataCentre - Data centre of the host.
+   * @param targetKey - Load key of the target.
+   * @param lane - Lane of the requests.
+   * @param by - Number of requests that start; negative if they end.
    */
-  causeFar(
+  addPendingRemoteChange(
     dataCentre: string,
     targetKey: string,
     lane: Lane,
     by: number,
   ): void {
-    this.note(this.causedFar, dataCentre, targetKey, lane, by);
+    this.recordPendingChange(
+      this.pendingRemote,
+      dataCentre,
+      targetKey,
+      lane,
+      by,
+    );
   }
 
-  private note(
-    causes: CausedLoads,
+  private recordPendingChange(
+    pending: PendingLoads,
     name: string,
     key: string,
     lane: Lane,
     by: number,
   ): void {
-    const {online, batch} = causes.add(name, key, lane, by, this.now());
-    this.shift(key, online, batch);
-    if (by > 0 && lane === 'online') this.changed();
+    const {online, batch} = pending.add(name, key, lane, by, this.now());
+    this.adjustTotal(key, online, batch);
+    if (by > 0 && lane === 'online') this.notifyListeners();
   }
 
   /**
-   * Takes the load of another data centre in place of what was heard of it before.
+   * Replaces the load of another data centre by its latest sum.
    *
-   * Guards against targets that look free to a whole data centre for a moment: a
-   * host that has just started, or is cut off from its neighbours, knows next to
-   * nothing of their loads. Its sum is over few hosts, and another host's follows.
+   * A host that has just started or is partitioned from its neighbours knows
+   * almost none of their loads, and its sum would make targets look free to a
+   * whole data centre for a moment. Such a sum covers few hosts and is ignored
+   * if another host has reported a more complete one shortly before.
    *
-   * @param heard - Another data centre's load.
+   * @param heard - Load of another data centre.
    */
-  hearDataCentre({dataCentre, hosts, load}: DataCentreLoad): void {
+  applyDataCentreSum({dataCentre, hosts, load}: DataCentreLoad): void {
     const before = this.dataCentres.get(dataCentre);
-    const heardAt = this.now();
-    const isRecent = before && heardAt - before.heardAt < SUM_KEPT_MS;
-    if (isRecent && hosts < before.hosts * LEAST_SUM_SHARE) return;
-    this.settle(this.causedFar, dataCentre, FAR_TOLD_AFTER_MS);
-    this.unsay(before);
-    this.dataCentres.set(dataCentre, {load, heardAt, hosts});
-    this.say(load);
+    const receivedAt = this.now();
+    const isRecent =
+      before && receivedAt - before.receivedAt < SUM_PRECEDENCE_MS;
+    if (isRecent && hosts < before.hosts * MIN_SUM_HOSTS_SHARE) return;
+    this.removePending(
+      this.pendingRemote,
+      dataCentre,
+      REMOTE_REPORTED_AFTER_MS,
+    );
+    this.subtractFromTotals(before);
+    this.dataCentres.set(dataCentre, {load, receivedAt, hosts});
+    this.addToTotals(load);
   }
 
   /**
-   * @param dataCentre - This host's own.
-   * @returns The sum over this host and all that it hears of by themselves.
+   * @param dataCentre - Data centre of this host.
+   * @returns The sum over this host and all hosts that report individually,
+   *     including pending changes.
    */
-  sumOfHosts(dataCentre: string): DataCentreLoad {
+  dataCentreSum(dataCentre: string): DataCentreLoad {
     const load = new Map<string, HostTargetLoad>(this.own);
-    for (const other of this.others.values())
+    for (const other of this.otherHosts.values())
       for (const [key, more] of other.load)
         load.set(key, sumOf(load.get(key), more));
-    for (const {key, online, batch} of this.caused.all())
+    for (const {key, online, batch} of this.pending.all())
       load.set(key, sumOf(load.get(key), {online, batch}));
-    return {dataCentre, hosts: this.others.size + 1, load};
+    return {dataCentre, hosts: this.otherHosts.size + 1, load};
   }
 
-  /** @param host - A host that is gone. */
-  forget(host: string): void {
-    this.settle(this.caused, host, 0);
-    this.unsay(this.others.get(host));
-    this.others.delete(host);
+  /** @param host - ID of a host that was removed. */
+  removeHost(host: string): void {
+    this.removePending(this.pending, host, 0);
+    this.subtractFromTotals(this.otherHosts.get(host));
+    this.otherHosts.delete(host);
   }
 
-  /** Forgets all that was heard: it comes in another form from now on. */
-  forgetAll(): void {
-    for (const host of [...this.others.keys()]) this.forget(host);
+  /**
+   * Drops all reports, because they are exchanged in another form from now on.
+   */
+  clearReports(): void {
+    for (const host of [...this.otherHosts.keys()]) this.removeHost(host);
     for (const name of [...this.dataCentres.keys()])
-      this.forgetDataCentre(name);
+      this.removeDataCentre(name);
   }
 
-  /** Forgets hosts and data centres that have been silent for
-   * {@link LOAD_LIFETIME_MS}. */
+  /**
+   * Drops the loads of hosts and data centres without a report for {@link
+   * LOAD_LIFETIME_MS}.
+   */
   expire(): void {
-    for (const causes of [this.caused, this.causedFar])
-      for (const name of causes.names())
-        this.settle(causes, name, CAUSED_LIFETIME_MS);
-    const oldest = this.now() - LOAD_LIFETIME_MS;
-    for (const [host, {heardAt}] of this.others)
-      if (heardAt < oldest) this.forget(host);
-    for (const [name, {heardAt}] of this.dataCentres)
-      if (heardAt < oldest) this.forgetDataCentre(name);
+    for (const pending of [this.pending, this.pendingRemote])
+      for (const name of pending.names())
+        this.removePending(pending, name, PENDING_LIFETIME_MS);
+    const oldest = this.now() - LOAD_REPORT_LIFETIME_MS;
+    for (const [host, {receivedAt}] of this.otherHosts)
+      if (receivedAt < oldest) this.removeHost(host);
+    for (const [name, {receivedAt}] of this.dataCentres)
+      if (receivedAt < oldest) this.removeDataCentre(name);
   }
 
   /** @returns The sum over all hosts. */
@@ -227,75 +273,87 @@
     return this.totals.get(targetKey) ?? NO_LOAD;
   }
 
-  /** @returns This host's own share of it. */
-  ownAt(targetKey: string): HostTargetLoad {
+  /** @returns The load of this host at the target. */
+  ownLoadAt(targetKey: string): HostTargetLoad {
     return this.own.get(targetKey) ?? NO_LOAD;
   }
 
-  /** @returns The load of a target by host, of hosts that have items there. */
+  /**
+   * @returns Load of a target by other host, for hosts with batch items there.
+   */
   hostsWithItems(targetKey: string): ReadonlyMap<string, HostTargetLoad> {
-    return withItems(this.others, targetKey);
+    return loadsWithItems(this.otherHosts, targetKey);
   }
 
-  /** @returns The same by other data centre, of those that tell theirs as one. */
+  /**
+   * @returns Load of a target by other data centre, for data centres that
+   *     report sums and have batch items there.
+   */
   dataCentresWithItems(targetKey: string): ReadonlyMap<string, HostTargetLoad> {
-    return withItems(this.dataCentres, targetKey);
+    return loadsWithItems(this.dataCentres, targetKey);
   }
 
-  private forgetDataCentre(name: string): void {
-    this.unsay(this.dataCentres.get(name));
+  private removeDataCentre(name: string): void {
+    this.subtractFromTotals(this.dataCentres.get(name));
     this.dataCentres.delete(name);
   }
 
-  private add(targetKey: string, lane: Lane, by: number): void {
-    const own = this.ownAt(targetKey);
+  private countOwn(targetKey: string, lane: Lane, by: number): void {
+    const own = this.ownLoadAt(targetKey);
     const next: HostTargetLoad = {...own, [lane]: own[lane] + by};
     if (next.online + next.batch === 0) this.own.delete(targetKey);
     else this.own.set(targetKey, next);
-    if (lane === 'online') this.shift(targetKey, by, 0);
-    else this.shift(targetKey, 0, by);
+    if (lane === 'online') this.adjustTotal(targetKey, by, 0);
+    else this.adjustTotal(targetKey, 0, by);
   }
 
-  /** Drops what was caused so long ago or longer. */
-  private settle(causes: CausedLoads, name: string, olderThanMs: number): void {
-    const told = causes.settle(name, this.now() - olderThanMs);
-    for (const {key, online, batch} of told) this.shift(key, -online, -batch);
+  /** Removes the pending changes that are at least this old. */
+  private removePending(
+    pending: PendingLoads,
+    name: string,
+    olderThanMs: number,
+  ): void {
+    const reported = pending.removeReported(name, this.now() - olderThanMs);
+    for (const {key, online, batch} of reported)
+      this.adjustTotal(key, -online, -batch);
   }
 
-  private say(load: HostLoad): void {
-    for (const [key, {online, batch}] of load) this.shift(key, online, batch);
-    this.changed();
+  private addToTotals(load: HostLoad): void {
+    for (const [key, {online, batch}] of load)
+      this.adjustTotal(key, online, batch);
+    this.notifyListeners();
   }
 
-  private unsay(heard: HeardLoad | undefined): void {
-    if (!heard) return;
-    for (const [key, {online, batch}] of heard.load)
-      this.shift(key, -online, -batch);
+  private subtractFromTotals(reported: ReportedLoad | undefined): void {
+    if (!reported) return;
+    for (const [key, {online, batch}] of reported.load)
+      this.adjustTotal(key, -online, -batch);
   }
 
-  private shift(targetKey: string, online: number, batch: number): void {
+  private adjustTotal(targetKey: string, online: number, batch: number): void {
     const total = this.at(targetKey);
     const next = {online: total.online + online, batch: total.batch + batch};
-    // Not by their sum: a holder may tell that an item has ended before what was
-    // caused at it is settled, and one lane is negative for that moment.
+    // Checks the lanes separately and not their sum. A holder may report that
+    // an item has ended before the pending change for it is removed, and the
+    // count of that lane is negative until then.
     const isIdle = next.online === 0 && next.batch === 0;
     if (isIdle) this.totals.delete(targetKey);
     else this.totals.set(targetKey, next);
   }
 
-  private changed(): void {
+  private notifyListeners(): void {
     for (const listener of this.listeners) listener();
   }
 }
 
-function withItems(
-  heard: ReadonlyMap<string, HeardLoad>,
+function loadsWithItems(
+  reports: ReadonlyMap<string, ReportedLoad>,
   targetKey: string,
 ): ReadonlyMap<string, HostTargetLoad> {
   const loads = new Map<string, HostTargetLoad>();
-  for (const [name, {load}] of heard) {
-    const here = load.get(targetKey);
-    if (here && here.batch > 0) loads.set(name, here);
+  for (const [name, {load}] of reports) {
+    const targetLoad = load.get(targetKey);
+    if (targetLoad && targetLoad.batch > 0) loads.set(name, targetLoad);
   }
   return loads;
 }
--- a/packages/gateway/src/lib/process/load_telling.ts
+++ b/packages/gateway/src/lib/process/load_telling.ts
@@ -1,251 +1,310 @@
 /**
- * What a host tells others of requests in flight, when and whom, and what it takes
- * in of what they tell. It sends nothing itself.
+ * Decides which load reports this host sends, when and to whom, and applies the
+ * reports that it receives. A load report lists the requests in flight by
+ * target. This module does no network I/O.
  */
 import {rendezvous, type Random} from '@oathead/core';
 import {loadPlan, type LoadPlanOptions} from '../connection/load_pace.js';
 import type {LoadMessage} from '../connection/load_message.js';
 import type {HostLoad, LoadTable} from './load_table.js';
 
-/** How often loads are told. */
+/** Intervals of load reports. */
 export interface LoadTellingOptions extends LoadPlanOptions {
-  /** How often the coordinator of a data centre tells those of the others the sum
-   * of its own, in milliseconds. */
+  /**
+   * Interval at which the coordinator of a data centre sends the sum of its
+   * data centre's loads to the coordinators of the others, in milliseconds.
+   */
   readonly coordinatorRelayMs: number;
-  /** How long a host stays silent while nothing changes, in milliseconds. */
-  readonly quietMs: number;
+  /**
+   * Maximum time between two reports while the load does not change, in
+   * milliseconds.
+   */
+  readonly keepaliveMs: number;
 }
 
-/** 60 ms: an item that gives way is told within the time of three stream
- * events. 150 datagrams of some 150 bytes are 23 KB a second. A sum over a data
- * centre has an entry for each target in use, some hundred bytes to a kilobyte. */
+/**
+ * With a period of 60 ms, a preemption is reported within the time of three
+ * stream events. 150 datagrams of about 150 bytes are 23 KB/s. The sum over a
+ * data centre has one entry for each target in use, and takes from some hundred
+ * bytes to one kilobyte.
+ */
 export const DEFAULT_LOAD_TELLING: LoadTellingOptions = {
   periodMs: 60,
   maxDatagramsPerSecond: 150,
   directFarMs: 333,
   relayMs: 500,
   coordinatorRelayMs: 200,
-  quietMs: 1000,
+  keepaliveMs: 1000,
 };
 
-/** Beyond the hosts of any data centre. */
-const MAX_FIRST_TURN = 10_000;
+/** Exceeds the number of hosts of any data centre. */
+const MAX_INITIAL_ROUND = 10_000;
 
-/** A host that tells loads, and hears them. */
+/** A host that sends and receives load reports. */
 export interface LoadPeer {
-  /** The run of its process. */
+  /** ID of its process incarnation. */
   readonly id: string;
   readonly dataCentre: string;
 }
 
-/** A message, and who gets it. */
-export interface LoadSending<P extends LoadPeer> {
+/** A message and its recipients. */
+export interface OutgoingLoadReport<P extends LoadPeer> {
   readonly message: LoadMessage;
   readonly peers: readonly P[];
 }
 
-/** Hosts that are told at the same times, and what they were told last. */
-interface ToldGroup {
-  sentAt: number;
-  sentText: string;
+/**
+ * Hosts that receive reports at the same times, and the last report to them.
+ */
+interface RecipientGroup {
+  lastSentAt: number;
+  lastReport: string;
 }
 
-/** Who coordinates a data centre. */
-interface Elected<P> {
-  /** The hosts among which it was elected. */
-  readonly among: string;
-  /** Undefined: this host. */
+/** Result of the coordinator election in one data centre. */
+interface ElectionResult<P> {
+  /** IDs of the candidates, joined. */
+  readonly candidates: string;
+  /** The coordinator; undefined if it is this host. */
   readonly peer: P | undefined;
 }
 
-/** What a {@link LoadTelling} needs. */
-export interface LoadTellingContext {
+/** Dependencies of {@link LoadTelling}. */
+export interface LoadReporterContext {
   readonly self: LoadPeer;
   readonly table: LoadTable;
-  /** A steady clock, in milliseconds. */
+  /** Returns the monotonic time, in milliseconds. */
   readonly now: () => number;
-  /** Keeps hosts from telling the same others at the same times. */
+  /**
+   * Staggers hosts, so that they do not report to the same hosts at the same
+   * times.
+   */
   readonly random: Random;
 }
 
-/** Decides what is told, and takes in what is heard. */
+/** Schedules outgoing load reports and applies incoming ones. */
 export class LoadTelling<P extends LoadPeer> {
-  private readonly heard = new Map<string, number>();
-  private readonly near: ToldGroup = {sentAt: -Infinity, sentText: ''};
-  private readonly far: ToldGroup = {sentAt: -Infinity, sentText: ''};
-  private readonly lead: ToldGroup = {sentAt: -Infinity, sentText: ''};
-  private readonly elected = new Map<string, Elected<P>>();
+  private readonly lastSequences = new Map<string, number>();
+  private readonly localGroup: RecipientGroup = {
+    lastSentAt: -Infinity,
+    lastReport: '',
+  };
+  private readonly remoteGroup: RecipientGroup = {
+    lastSentAt: -Infinity,
+    lastReport: '',
+  };
+  private readonly coordinatorGroup: RecipientGroup = {
+    lastSentAt: -Infinity,
+    lastReport: '',
+  };
+  private readonly elections = new Map<string, ElectionResult<P>>();
   private readonly startedAt: number;
-  private relayed: boolean | undefined;
-  private relayedAt: number;
-  private coordinatorsToldAt = -Infinity;
-  /** Whose turn it is in each other data centre. */
-  private turn: number;
+  private isRelayed: boolean | undefined;
+  private sumSentAt: number;
+  private coordinatorSumSentAt = -Infinity;
+  /** Round-robin position for the recipients in the other data centres. */
+  private round: number;
   private sequence = 0;
 
   /**
-   * @param context - This host, and its loads.
-   * @param options - How often it tells them.
+   * @param context - This host and its loads.
+   * @param options - Report intervals.
    */
   constructor(
-    private readonly context: LoadTellingContext,
+    private readonly context: LoadReporterContext,
     private readonly options: LoadTellingOptions,
   ) {
     const {now, random} = context;
     this.startedAt = now();
-    this.relayedAt = this.startedAt + random.float() * options.relayMs;
-    this.turn = random.int(MAX_FIRST_TURN);
+    this.sumSentAt = this.startedAt + random.float() * options.relayMs;
+    this.round = random.int(MAX_INITIAL_ROUND);
   }
 
   /**
-   * @param peers - The live hosts but this one.
-   * @returns What is to be told now.
+   * Returns the reports that are due and marks them as sent. To be called once
+   * per period.
+   *
+   * @param peers - All live hosts except this one.
+   * @returns The messages to send now.
    */
-  due(peers: readonly P[]): ReadonlyArray<LoadSending<P>> {
+  due(peers: readonly P[]): ReadonlyArray<OutgoingLoadReport<P>> {
     const {table, self} = this.context;
     table.expire();
-    const near = peers.filter(({dataCentre}) => dataCentre === self.dataCentre);
-    const far = byDataCentre(peers, self.dataCentre);
-    const farPeers = [...far.values()].flat();
-    const plan = loadPlan(near.length, farPeers.length, far.size, this.options);
+    const local = peers.filter(
+      ({dataCentre}) => dataCentre === self.dataCentre,
+    );
+    const remote = byDataCentre(peers, self.dataCentre);
+    const remotePeers = [...remote.values()].flat();
+    const plan = loadPlan(
+      local.length,
+      remotePeers.length,
+      remote.size,
+      this.options,
+    );
     this.setRelayed(plan.kind === 'relayed');
-    const sendings = this.ownLoadTo(this.near, near, plan.nearMs);
+    const reports = this.ownLoadReports(this.localGroup, local, plan.nearMs);
     if (plan.kind === 'direct')
-      return [...sendings, ...this.ownLoadTo(this.far, farPeers, plan.farMs)];
-    this.elect(near, far);
+      return [
+        ...reports,
+        ...this.ownLoadReports(this.remoteGroup, remotePeers, plan.farMs),
+      ];
+    this.elect(local, remote);
     return [
-      ...sendings,
-      ...this.ownLoadToCoordinator(),
-      ...this.sumTo(far, plan.relayMs),
-      ...this.sumToCoordinators(far),
+      ...reports,
+      ...this.ownLoadReportToCoordinator(),
+      ...this.sumReports(remote, plan.relayMs),
+      ...this.sumReportsToCoordinators(remote),
     ];
   }
 
   /**
-   * The host that places the requests of this data centre, if it is another one. A
-   * fleet that is small enough to tell loads to each has none.
+   * The host that places the requests of this data centre; undefined if that is
+   * this host. A fleet that is small enough to exchange all loads directly has
+   * no coordinator.
    */
   get coordinator(): P | undefined {
     const {dataCentre} = this.context.self;
-    return this.relayed ? this.elected.get(dataCentre)?.peer : undefined;
+    return this.isRelayed ? this.elections.get(dataCentre)?.peer : undefined;
   }
 
   /**
-   * @param dataCentre - Another one.
-   * @returns Who places the requests there; undefined: nobody, or it is not known.
+   * @param dataCentre - Another data centre.
+   * @returns The host that places requests there; undefined if there is none or
+   *     it is not known.
    */
   coordinatorOf(dataCentre: string): P | undefined {
-    return this.relayed ? this.elected.get(dataCentre)?.peer : undefined;
+    return this.isRelayed ? this.elections.get(dataCentre)?.peer : undefined;
   }
 
-  /** @param message - What another host tells. */
+  /**
+   * Applies a report; ignores one that was overtaken by a later report.
+   *
+   * @param message - A report of another host.
+   */
   hear(message: LoadMessage): void {
     const {host, dataCentre, sequence, sumOf, load} = message;
     const {table, self} = this.context;
-    if (sequence <= (this.heard.get(host) ?? 0)) return;
-    this.heard.set(host, sequence);
-    const isNear = dataCentre === self.dataCentre;
-    // Guards against loads that count twice while hosts differ in how many they
-    // know, and one tells its own load to all as another tells it in a sum.
+    if (sequence <= (this.lastSequences.get(host) ?? 0)) return;
+    this.lastSequences.set(host, sequence);
+    const isLocal = dataCentre === self.dataCentre;
+    // Prevents double counting while hosts disagree on the fleet size: one host
+    // may report its own load to all while another includes it in a sum.
     if (sumOf === 0) {
-      if (isNear || !this.relayed) table.hear(host, load);
-    } else if (!isNear && this.relayed) {
-      table.hearDataCentre({dataCentre, hosts: sumOf, load});
+      if (isLocal || !this.isRelayed) table.applyReport(host, load);
+    } else if (!isLocal && this.isRelayed) {
+      table.applyDataCentreSum({dataCentre, hosts: sumOf, load});
     }
   }
 
-  private setRelayed(relayed: boolean): void {
-    if (this.relayed === relayed) return;
-    this.relayed = relayed;
-    this.context.table.forgetAll();
+  private setRelayed(isRelayed: boolean): void {
+    if (this.isRelayed === isRelayed) return;
+    this.isRelayed = isRelayed;
+    this.context.table.clearReports();
   }
 
-  /** By what all hosts of a data centre know: its members. While they differ in
-   * that, two coordinate, which costs nothing but their knowledge of each other. */
+  /**
+   * Elects the coordinators by rendezvous hashing over the members of each data
+   * centre. While hosts disagree on the membership there may be two
+   * coordinators, each of which lacks the latest placements of the other;
+   * nothing else is affected.
+   */
   private elect(
-    near: readonly P[],
-    far: ReadonlyMap<string, readonly P[]>,
+    local: readonly P[],
+    remote: ReadonlyMap<string, readonly P[]>,
   ): void {
     const {id, dataCentre} = this.context.self;
-    this.electFor(dataCentre, [id], near);
-    for (const [name, peers] of far) this.electFor(name, [], peers);
+    this.electIn(dataCentre, [id], local);
+    for (const [name, peers] of remote) this.electIn(name, [], peers);
   }
 
-  private electFor(
+  private electIn(
     dataCentre: string,
     self: readonly string[],
     peers: readonly P[],
   ): void {
     const ids = [...self, ...peers.map(({id}) => id)];
-    const among = ids.join();
-    if (this.elected.get(dataCentre)?.among === among) return;
+    const candidates = ids.join();
+    if (this.elections.get(dataCentre)?.candidates === candidates) return;
     const [first] = rendezvous(dataCentre, ids);
     const peer = peers.find(({id}) => id === first);
-    this.elected.set(dataCentre, {among, peer});
+    this.elections.set(dataCentre, {candidates, peer});
   }
 
-  private ownLoadToCoordinator(): ReadonlyArray<LoadSending<P>> {
+  private ownLoadReportToCoordinator(): ReadonlyArray<OutgoingLoadReport<P>> {
     const {coordinator} = this;
     if (!coordinator) return [];
-    return this.ownLoadTo(this.lead, [coordinator], this.options.periodMs);
+    return this.ownLoadReports(
+      this.coordinatorGroup,
+      [coordinator],
+      this.options.periodMs,
+    );
   }
 
-  private sumToCoordinators(
-    far: ReadonlyMap<string, readonly P[]>,
-  ): ReadonlyArray<LoadSending<P>> {
+  private sumReportsToCoordinators(
+    remote: ReadonlyMap<string, readonly P[]>,
+  ): ReadonlyArray<OutgoingLoadReport<P>> {
     const {now} = this.context;
     const {coordinatorRelayMs} = this.options;
-    const isDue = now() - this.coordinatorsToldAt >= coordinatorRelayMs;
-    if (this.coordinator || !isDue || !this.knowsNeighbours) return [];
-    this.coordinatorsToldAt = now();
-    const elected = [...far.keys()].map(name => this.elected.get(name)?.peer);
+    const isDue = now() - this.coordinatorSumSentAt >= coordinatorRelayMs;
+    if (this.coordinator || !isDue || !this.hasLocalReports) return [];
+    this.coordinatorSumSentAt = now();
+    const elected = [...remote.keys()].map(
+      name => this.elections.get(name)?.peer,
+    );
     const peers = elected.filter(peer => peer !== undefined);
-    return [this.sumFor(peers)];
+    return [this.sumReport(peers)];
   }
 
-  private ownLoadTo(
-    group: ToldGroup,
+  private ownLoadReports(
+    group: RecipientGroup,
     peers: readonly P[],
     spacingMs: number,
-  ): ReadonlyArray<LoadSending<P>> {
-    const {periodMs, quietMs} = this.options;
+  ): ReadonlyArray<OutgoingLoadReport<P>> {
+    const {periodMs, keepaliveMs} = this.options;
     const {table, now} = this.context;
-    const sinceSent = now() - group.sentAt;
-    // Half a period less: timers fire late, and a tick must not be missed.
+    const sinceSent = now() - group.lastSentAt;
+    // Subtracts half a period because timers fire late and no tick may be
+    // skipped.
     if (peers.length === 0 || sinceSent < spacingMs - periodMs / 2) return [];
-    const text = JSON.stringify([...table.ownLoad]);
-    if (text === group.sentText && sinceSent < quietMs) return [];
-    group.sentAt = now();
-    group.sentText = text;
+    const report = JSON.stringify([...table.ownLoad]);
+    if (report === group.lastReport && sinceSent < keepaliveMs) return [];
+    group.lastSentAt = now();
+    group.lastReport = report;
     return [{message: this.message(0, table.ownLoad), peers}];
   }
 
-  /** Each time another host of a data centre, so that one that is lost on either
-   * side leaves the others with what is a turn older. */
-  private sumTo(
-    far: ReadonlyMap<string, readonly P[]>,
+  /**
+   * Sends the sum of this data centre's loads to a different host of each other
+   * data centre in each round. If a host on either side fails, the remaining
+   * hosts only see a sum that is one round older.
+   */
+  private sumReports(
+    remote: ReadonlyMap<string, readonly P[]>,
     relayMs: number,
-  ): ReadonlyArray<LoadSending<P>> {
+  ): ReadonlyArray<OutgoingLoadReport<P>> {
     const {now} = this.context;
-    const isDue = now() - this.relayedAt >= relayMs;
-    if (!isDue || !this.knowsNeighbours) return [];
-    this.relayedAt = now();
-    this.turn++;
-    const peers = [...far.values()].map(
-      hosts => hosts[this.turn % hosts.length]!,
+    const isDue = now() - this.sumSentAt >= relayMs;
+    if (!isDue || !this.hasLocalReports) return [];
+    this.sumSentAt = now();
+    this.round++;
+    const peers = [...remote.values()].map(
+      hosts => hosts[this.round % hosts.length]!,
     );
-    return [this.sumFor(peers)];
+    return [this.sumReport(peers)];
   }
 
-  private sumFor(peers: readonly P[]): LoadSending<P> {
+  private sumReport(peers: readonly P[]): OutgoingLoadReport<P> {
     const {table, self} = this.context;
-    const {hosts, load} = table.sumOfHosts(self.dataCentre);
+    const {hosts, load} = table.dataCentreSum(self.dataCentre);
     return {message: this.message(hosts, load), peers};
   }
 
-  /** Each neighbour tells its load once in this time, also if it does not change. */
-  private get knowsNeighbours(): boolean {
-    return this.context.now() - this.startedAt >= this.options.quietMs;
+  /**
+   * Whether every local host has had time to report its load. Each of them
+   * reports at least once in this interval, even if its load does not change.
+   */
+  private get hasLocalReports(): boolean {
+    return this.context.now() - this.startedAt >= this.options.keepaliveMs;
   }
 
   private message(sumOf: number, load: HostLoad): LoadMessage {
--- a/packages/gateway/src/lib/process/membership.ts
+++ b/packages/gateway/src/lib/process/membership.ts
@@ -1,8 +1,9 @@
 /**
- * Which hosts of this system are alive. Each keeps one row with a heartbeat;
- * a row that has not changed for the time of a lease is of a host that is gone.
- * Time is the store's own steady clock, as its answers tell it: hosts' clocks
- * may jump, and while the store gives no answers nobody is declared dead.
+ * Tracks which hosts of the system are alive. Each host keeps one row in the
+ * store and rewrites it as a heartbeat; a host whose row has not changed for
+ * the duration of a lease is considered dead. Time is the store's own monotonic
+ * clock, as reported in its responses: host clocks may jump, and no host is
+ * declared dead while the store does not respond.
  */
 import {DisposableStore, type Clock, type EventLog} from '@oathead/core';
 import {
@@ -15,26 +16,29 @@
 import {LRUCache} from 'lru-cache';
 import {z} from 'zod';
 
-/** One run of a process on a host. */
+/** A process incarnation on a host. */
 export interface Member {
-  /** New with each start. */
+  /** Unique for each start of the process. */
   readonly id: string;
   readonly host: string;
   readonly dataCentre: string;
   readonly ip: string;
-  /** Where it takes other hosts' loads. */
+  /**
+   * UDP port on which it receives load reports and other messages between
+   * hosts.
+   */
   readonly loadPort: number;
-  /** Where it answers other hosts' questions. */
+  /** Address on which it serves requests of other hosts. */
   readonly controlAddress: string;
 }
 
-/** The table of heartbeats. */
+/** Table of heartbeats. */
 export const MEMBER_TABLE = 'members';
 
 /**
- * @param host - The name of a host.
- * @param nonce - Tells this run of its process from all others.
- * @returns The id of the run.
+ * @param host - Name of a host.
+ * @param nonce - Distinguishes this incarnation of its process from all others.
+ * @returns ID of the incarnation.
  */
 export function memberId(host: string, nonce: string): string {
   return `${host}.${nonce}`;
@@ -53,46 +57,54 @@
   controlAddress: z.string(),
 });
 
-/** A heartbeat's row may be written so many times a second by all hosts, a tenth
- * of what the store takes; with more hosts each beats less often. */
-const BEATS_PER_SECOND = 80;
-/** The least time between two heartbeats, in milliseconds. */
-const LEAST_BEAT_MS = 1000;
-/** A lease ends after so many heartbeats without one. */
-const BEATS_PER_LEASE = 3.5;
-/** A longer time between two answers of the store is an outage: leases are
- * prolonged by it, in milliseconds. */
+/**
+ * Maximum rate of heartbeat writes by all hosts together, per second: a tenth
+ * of what the store can take. Beyond it, hosts send heartbeats less often.
+ */
+const MAX_HEARTBEATS_PER_SECOND = 80;
+/** Minimum interval between two heartbeats, in milliseconds. */
+const MIN_HEARTBEAT_INTERVAL_MS = 1000;
+/** Duration of a lease, in heartbeat intervals. */
+const HEARTBEATS_PER_LEASE = 3.5;
+/**
+ * A longer gap between two responses of the store counts as an outage, in
+ * milliseconds. Leases are extended by its duration.
+ */
 const OUTAGE_MS = 1500;
 const MS_PER_SECOND = 1000;
-/** Ended runs that are remembered at the most: more than two days of restarts of
- * a fleet in which 490 hosts restart a day. */
-const MAX_ENDED_RUNS = 1024;
+/**
+ * Maximum number of ended incarnations in memory: more than two days of
+ * restarts in a fleet in which 490 hosts restart per day.
+ */
+const MAX_ENDED_INCARNATIONS = 1024;
 
-interface SeenMember {
+interface MemberRecord {
   readonly member: Member;
   readonly version: number;
-  /** The store's time of the answer that brought the row. */
-  seenAt: number;
+  /** Store time of the response that delivered the row. */
+  updatedAt: number;
 }
 
-/** What a {@link Membership} needs. */
+/** Dependencies of {@link Membership}. */
 export interface MembershipContext {
   readonly store: RowStore;
   readonly clock: Clock;
   readonly log: EventLog;
 }
 
-/** Keeps this host's row, and the list of live hosts. */
+/** Maintains the row of this host and the set of live hosts. */
 export class Membership implements Disposable {
-  private readonly held = new DisposableStore();
-  private readonly seen = new Map<string, SeenMember>();
-  private readonly lapsed = new Set<string>();
-  private readonly ended = new LRUCache<string, true>({max: MAX_ENDED_RUNS});
+  private readonly disposables = new DisposableStore();
+  private readonly members = new Map<string, MemberRecord>();
+  private readonly expired = new Set<string>();
+  private readonly endedIds = new LRUCache<string, true>({
+    max: MAX_ENDED_INCARNATIONS,
+  });
   private storeTimeMs = 0;
-  private beating = false;
+  private isHeartbeatPending = false;
 
   /**
-   * @param self - This process.
+   * @param self - The process incarnation of this host.
    * @param context - The store, the clock and the log.
    */
   constructor(
@@ -100,24 +112,24 @@
     private readonly context: MembershipContext,
   ) {}
 
-  /** Begins to beat. */
+  /** Starts to send heartbeats. */
   start(): void {
-    void this.beat();
-    this.schedule();
+    void this.sendHeartbeat();
+    this.scheduleHeartbeat();
   }
 
-  /** Ends the heartbeat. */
+  /** Stops sending heartbeats. */
   [Symbol.dispose](): void {
-    this.held[Symbol.dispose]();
+    this.disposables[Symbol.dispose]();
   }
 
-  /** @param update - What the watch of {@link MEMBER_TABLE} has brought. */
+  /** @param update - Changes of {@link MEMBER_TABLE}. */
   update({put, removed, storeTimeMs}: TableUpdate): void {
     const gap = storeTimeMs - this.storeTimeMs;
-    if (this.storeTimeMs > 0 && gap > OUTAGE_MS) this.prolong(gap);
+    if (this.storeTimeMs > 0 && gap > OUTAGE_MS) this.extendLeases(gap);
     this.storeTimeMs = Math.max(this.storeTimeMs, storeTimeMs);
-    for (const row of put) this.see(row);
-    for (const row of removed) this.seen.delete(row.key);
+    for (const row of put) this.applyRow(row);
+    for (const row of removed) this.members.delete(row.key);
   }
 
   /** Whether the list of hosts has been read at least once. */
@@ -125,29 +137,32 @@
     return this.storeTimeMs > 0;
   }
 
-  /** @returns All live hosts, this one included. */
+  /** @returns All live hosts, this one first. */
   live(): readonly Member[] {
-    const others = [...this.seen.values()].filter(
+    const others = [...this.members.values()].filter(
       ({member}) => member.host !== this.self.host,
     );
-    const live = others.filter(seen => this.isLive(seen));
+    const live = others.filter(record => this.isLive(record));
     return [this.self, ...live.map(({member}) => member)];
   }
 
-  /** @returns The live hosts but this one. */
+  /** @returns All live hosts except this one. */
   peers(): readonly Member[] {
     return this.live().slice(1);
   }
 
-  /** @returns The run of this id, if it lives and is not this one. */
+  /**
+   * @returns The incarnation with this ID; undefined if it is not alive or is
+   *     this one.
+   */
   peer(id: string): Member | undefined {
-    const seen = this.seen.get(hostOfMember(id));
-    const isIt = seen?.member.id === id && id !== this.self.id;
-    return isIt && this.isLive(seen) ? seen.member : undefined;
+    const record = this.members.get(hostOfMember(id));
+    const isMatch = record?.member.id === id && id !== this.self.id;
+    return isMatch && this.isLive(record) ? record.member : undefined;
   }
 
   /**
-   * @param id - One run of a process.
+   * @param id - ID of a process incarnation.
    * @returns Whether it holds its lease, as far as this host knows.
    */
   holdsLease(id: string): boolean {
@@ -155,32 +170,34 @@
   }
 
   /**
-   * @param id - One run of a process.
-   * @returns Whether its host runs another one now, so that it has surely ended.
+   * @param id - ID of a process incarnation.
+   * @returns Whether its host runs another incarnation, which proves that it
+   *     has ended.
    */
   isReplaced(id: string): boolean {
     const host = hostOfMember(id);
     const now =
-      host === this.self.host ? this.self : this.seen.get(host)?.member;
+      host === this.self.host ? this.self : this.members.get(host)?.member;
     return now !== undefined && now.id !== id;
   }
 
   private leaseMs(): number {
-    return this.beatMs() * BEATS_PER_LEASE;
+    return this.heartbeatIntervalMs() * HEARTBEATS_PER_LEASE;
   }
 
-  private beatMs(): number {
-    const spread = (this.seen.size / BEATS_PER_SECOND) * MS_PER_SECOND;
-    return Math.max(LEAST_BEAT_MS, spread);
+  private heartbeatIntervalMs(): number {
+    const spreadMs =
+      (this.members.size / MAX_HEARTBEATS_PER_SECOND) * MS_PER_SECOND;
+    return Math.max(MIN_HEARTBEAT_INTERVAL_MS, spreadMs);
   }
 
-  private isLive(seen: SeenMember): boolean {
-    const silentMs = this.storeTimeMs - seen.seenAt;
+  private isLive(record: MemberRecord): boolean {
+    const silentMs = this.storeTimeMs - record.updatedAt;
     const live = silentMs <= this.leaseMs();
-    const {id} = seen.member;
-    if (live) this.lapsed.delete(id);
-    else if (!this.lapsed.has(id)) {
-      this.lapsed.add(id);
+    const {id} = record.member;
+    if (live) this.expired.delete(id);
+    else if (!this.expired.has(id)) {
+      this.expired.add(id);
       this.context.log.event('member-lapsed', {
         member: id,
         silentMs: Math.round(silentMs),
@@ -189,11 +206,11 @@
     return live;
   }
 
-  private prolong(byMs: number): void {
-    for (const seen of this.seen.values()) seen.seenAt += byMs;
+  private extendLeases(byMs: number): void {
+    for (const record of this.members.values()) record.updatedAt += byMs;
   }
 
-  private see(row: VersionedRow): void {
+  private applyRow(row: VersionedRow): void {
     const decoded = decodeJson(row.value, MEMBER);
     if (!decoded.ok) {
       this.context.log.event('member-unreadable', {
@@ -203,40 +220,43 @@
       return;
     }
     const member = decoded.value;
-    if (this.ended.has(member.id)) {
+    if (this.endedIds.has(member.id)) {
       this.context.log.event('member-stale', {member: member.id});
       return;
     }
-    this.noteRun(row.key, member.id);
+    this.recordIncarnation(row.key, member.id);
     const {version} = row;
-    this.seen.set(row.key, {member, version, seenAt: this.storeTimeMs});
+    this.members.set(row.key, {member, version, updatedAt: this.storeTimeMs});
   }
 
   /**
-   * Guards against a heartbeat that the store carries out seconds late, after
-   * its process has ended and its host runs another one: the live process would
-   * look replaced, and other hosts would take its jobs from it. A run that was
-   * followed by another one never comes back.
+   * Records a change of incarnation.
+   *
+   * The store may apply a heartbeat seconds late, when its process has ended
+   * and the host runs a new incarnation. The live process would then appear
+   * replaced, and other hosts would take over its jobs. An incarnation that was
+   * followed by another one is therefore never accepted again.
    */
-  private noteRun(host: string, id: string): void {
-    const known = this.seen.get(host)?.member.id;
+  private recordIncarnation(host: string, id: string): void {
+    const known = this.members.get(host)?.member.id;
     if (known === id) return;
-    if (known !== undefined) this.ended.set(known, true);
+    if (known !== undefined) this.endedIds.set(known, true);
     this.context.log.event('member-seen', {member: id, before: known});
   }
 
-  private schedule(): void {
-    if (this.held.disposed) return;
-    this.context.clock.after(this.beatMs(), () => {
-      void this.beat();
-      this.schedule();
+  private scheduleHeartbeat(): void {
+    if (this.disposables.disposed) return;
+    this.context.clock.after(this.heartbeatIntervalMs(), () => {
+      void this.sendHeartbeat();
+      this.scheduleHeartbeat();
     });
   }
 
-  private async beat(): Promise<void> {
-    // A beat that waits for a slow store must not be joined by others.
-    if (this.beating || this.held.disposed) return;
-    this.beating = true;
+  private async sendHeartbeat(): Promise<void> {
+    // Only one heartbeat is in progress at a time, so that heartbeats do not
+    // pile up at a slow store.
+    if (this.isHeartbeatPending || this.disposables.disposed) return;
+    this.isHeartbeatPending = true;
     const ref = {table: MEMBER_TABLE, partition: '', key: this.self.host};
     const value = encodeJson(this.self);
     const written = await this.context.store.transact({
@@ -244,7 +264,7 @@
       puts: [{...ref, value}],
       removes: [],
     });
-    this.beating = false;
+    this.isHeartbeatPending = false;
     if (!written.ok)
       this.context.log.event('heartbeat-failed', {reason: written.err.kind});
   }
--- a/packages/gateway/src/lib/process/placement.ts
+++ b/packages/gateway/src/lib/process/placement.ts
@@ -1,11 +1,12 @@
 /**
- * Where the next request or item of this host goes: by its own view of the loads, or
- * by the host that coordinates the data centre.
+ * Selects the target of each request or item of this host, either by the host's
+ * own view of the loads or by asking the coordinator of the data centre.
  *
- * Own views do while there are free slots to spare, and in small fleets, where loads
- * are told quickly. Guards against a coordinator that is lost, stands still or is cut
- * off: each question has a short timeout, after which the own view decides, and after
- * several in a row nobody asks for a while.
+ * The own view is sufficient while there are plenty of free slots, and in small
+ * fleets, where load reports are recent. In case the coordinator fails, hangs
+ * or is unreachable, each placement request has a short timeout, after which
+ * the own view decides; after several timeouts in a row the coordinator is not
+ * asked for a while.
  */
 import type {Clock, Counters, EventLog, WaitDemand} from '@oathead/core';
 import type {Target} from '../connection/target.js';
@@ -19,24 +20,37 @@
 import type {BatchPressure, TargetChooser} from './target_chooser.js';
 import type {TargetDirectory} from './target_directory.js';
 
-/** How long an answer of the coordinator is waited for, in milliseconds: several
- * round trips inside a data centre, and little of any objective. */
-const ASK_TIMEOUT_MS = 25;
-/** After so many questions in a row without an answer nobody asks for a while. */
+/**
+ * Timeout of a placement request, in milliseconds: several round trips inside a
+ * data centre, and a small fraction of any latency objective.
+ */
+const REQUEST_TIMEOUT_MS = 25;
+/**
+ * Number of consecutive timeouts after which a coordinator is not asked for a
+ * while.
+ */
 const FAILURES_TO_PAUSE = 3;
-/** For how long, in milliseconds: until then it is back, or soon another host is
- * taken for the coordinator. */
+/**
+ * How long an unresponsive coordinator is not asked, in milliseconds. By then
+ * it has recovered, or another host is about to be elected.
+ */
 const PAUSE_MS = 1000;
-/** While so much of a near target's slots or less is in use, as a share, the own
- * view decides: what others have sent meanwhile fits beside it. */
-const CALM_SHARE = 0.5;
+/**
+ * A local target with less than this share of its slots in use is selected by
+ * the own view: requests that other hosts have sent in the meantime fit beside
+ * the new one.
+ */
+const OWN_VIEW_LOAD_SHARE = 0.5;
 
-/** Targets that a question names at the most: it has to fit into a datagram. */
+/**
+ * Maximum number of excluded targets in a placement request, which must fit
+ * into a datagram.
+ */
 const MAX_EXCLUDED = 30;
 
-const NONE: ReadonlySet<string> = new Set();
+const NO_TARGETS: ReadonlySet<string> = new Set();
 
-/** What a {@link Placement} needs. */
+/** Dependencies of {@link Placement}. */
 export interface PlacementContext<P extends LoadPeer> {
   readonly self: LoadPeer;
   readonly clock: Clock;
@@ -45,57 +59,62 @@
   readonly chooser: TargetChooser;
   readonly directory: TargetDirectory;
   readonly own: Coordinator;
-  /** @returns Who coordinates; undefined: this host, or nobody. */
+  /**
+   * @returns The coordinator; undefined if it is this host or there is none.
+   */
   readonly coordinator: () => P | undefined;
-  /** @returns Who coordinates another data centre; undefined: nobody. */
+  /**
+   * @returns The coordinator of another data centre; undefined if there is
+   *     none.
+   */
   readonly coordinatorOf: (dataCentre: string) => P | undefined;
-  /** @returns A host of this data centre. */
+  /** @returns The host with this ID; undefined if it is not known. */
   readonly peer: (id: string) => P | undefined;
   readonly send: (message: PlacementMessage, to: P) => void;
-  /** Called when items of this host have to end at a target. */
+  /** Called when items of this host must be preempted at a target. */
   readonly onYield: (targetId: string, items: number) => void;
 }
 
-/** Places online requests. */
+/** Placement of online requests. */
 export type RequestPlacement = Pick<Placement<LoadPeer>, 'forRequest'>;
 
-/** Places items of batch jobs. */
+/** Placement of batch items. */
 export type ItemPlacement = Pick<Placement<LoadPeer>, 'forItem' | 'asksOthers'>;
 
-type Answer = (targetId: string | undefined) => void;
+type AnswerHandler = (targetId: string | undefined) => void;
 
-/** Asks for places, and answers those who ask. */
+/** Sends placement requests, and answers those of other hosts. */
 export class Placement<P extends LoadPeer> {
-  private readonly waiting = new Map<number, Answer>();
+  private readonly pendingAnswers = new Map<number, AnswerHandler>();
   private askId = 0;
-  /** Questions in a row without an answer, by the host that was asked. */
+  /** Consecutive timeouts, by ID of the coordinator. */
   private readonly failures = new Map<string, number>();
   private readonly pausedUntil = new Map<string, number>();
 
-  /** @param context - Whom to ask, and the own view. */
+  /** @param context - Target selection on this host, and the coordinators. */
   constructor(private readonly context: PlacementContext<P>) {}
 
-  /** Whether another host is asked for places now. */
+  /** Whether placement requests currently go to another host. */
   get asksOthers(): boolean {
     return this.coordinator() !== undefined;
   }
 
   /**
-   * @param service - Whose targets can do it.
-   * @param demand - How long it may wait there.
-   * @param tried - Targets that had their try.
-   * @returns Where to send it; undefined: none has room. Never rejects.
+   * @param service - Service that the target must provide.
+   * @param demand - Determines how many requests may be queued at the target.
+   * @param tried - IDs of targets that were tried already.
+   * @returns The selected target; undefined if none has room. Never rejects.
    */
   async forRequest(
     service: string,
     demand: WaitDemand,
     tried: ReadonlySet<string>,
   ): Promise<Target | undefined> {
-    const first = await this.byOwnDataCentre(service, demand, tried);
-    return first && this.byOther(first, service, demand, tried);
+    const first = await this.placeInOwnDataCentre(service, demand, tried);
+    return first && this.placeRemotely(first, service, demand, tried);
   }
 
-  private async byOwnDataCentre(
+  private async placeInOwnDataCentre(
     service: string,
     demand: WaitDemand,
     tried: ReadonlySet<string>,
@@ -103,20 +122,27 @@
     const {chooser} = this.context;
     const own = chooser.forRequest(service, demand, tried);
     const coordinator = this.coordinator();
-    if (!coordinator || (own && chooser.isCalm(own, CALM_SHARE))) return own;
+    if (!coordinator || (own && chooser.isLoadBelow(own, OWN_VIEW_LOAD_SHARE)))
+      return own;
     const wish = {lane: 'online', demand, near: false} as const;
-    const answer = await this.ask(coordinator, service, wish, tried);
+    const answer = await this.requestPlacement(
+      coordinator,
+      service,
+      wish,
+      tried,
+    );
     return answer === 'silent'
       ? chooser.forRequest(service, demand, tried)
       : answer;
   }
 
   /**
-   * Guards against targets of another data centre that several data centres fill at
-   * the same time: each knows what the others sent there as of a fifth of a second
-   * ago. The coordinator there knows what it has placed itself.
+   * Asks the coordinator of a remote target's data centre, which knows its own
+   * placements at once. Without it, several data centres would fill the same
+   * remote targets, because each knows what the others have sent there only as
+   * of a fifth of a second ago.
    */
-  private async byOther(
+  private async placeRemotely(
     first: Target,
     service: string,
     demand: WaitDemand,
@@ -128,15 +154,16 @@
       dataCentre === self.dataCentre ? undefined : coordinatorOf(dataCentre);
     if (!other || this.isPaused(other)) return first;
     const wish = {lane: 'online', demand, near: true} as const;
-    const answer = await this.ask(other, service, wish, tried);
+    const answer = await this.requestPlacement(other, service, wish, tried);
     if (answer === 'silent') return first;
-    return answer ?? chooser.forRequestNear(service, demand, tried);
+    return answer ?? chooser.forLocalRequest(service, demand, tried);
   }
 
   /**
-   * @param service - Whose targets can do it.
-   * @param pressure - Whether the item is due soon.
-   * @returns Where to send it; undefined: none has room. Never rejects.
+   * @param service - Service that the target must provide.
+   * @param pressure - Whether the item is urgent.
+   * @returns The selected target; undefined if none has a free slot. Never
+   *     rejects.
    */
   async forItem(
     service: string,
@@ -146,23 +173,23 @@
     const own = chooser.forItem(service, pressure);
     const coordinator = this.coordinator();
     if (!coordinator || !own) return own;
-    const answer = await this.ask(
+    const answer = await this.requestPlacement(
       coordinator,
       service,
       {lane: 'batch', pressure},
-      NONE,
+      NO_TARGETS,
     );
     return answer === 'silent' ? chooser.forItem(service, pressure) : answer;
   }
 
-  /** @param message - What another host says. */
+  /** @param message - A message from another host. */
   hear(message: PlacementMessage): void {
     switch (message.kind) {
       case 'ask':
-        this.answer(message);
+        this.handleRequest(message);
         return;
       case 'grant':
-        this.waiting.get(message.askId)?.(message.targetId);
+        this.pendingAnswers.get(message.askId)?.(message.targetId);
         return;
       case 'yield':
         this.context.onYield(message.targetId, message.items);
@@ -178,7 +205,7 @@
     return this.context.clock.now() < (this.pausedUntil.get(id) ?? -Infinity);
   }
 
-  private async ask(
+  private async requestPlacement(
     coordinator: P,
     service: string,
     wish: PlaceWish,
@@ -186,33 +213,34 @@
   ): Promise<Target | undefined | 'silent'> {
     const {self, send, counters} = this.context;
     const askId = ++this.askId;
-    const excluded = this.excluded(service, tried);
+    const excluded = this.excludedTargets(service, tried);
     const ask = {host: self.id, askId, service, wish, excluded};
-    const answered = this.answerTo(askId);
+    const answered = this.awaitAnswer(askId);
     send({kind: 'ask', ...ask}, coordinator);
     const answer = await answered;
     const outcome = answer === 'silent' ? 'silent' : answer ? 'place' : 'full';
     counters.count('placement_asks', {lane: wish.lane, outcome});
-    if (answer === 'silent') this.failed(coordinator);
+    if (answer === 'silent') this.recordTimeout(coordinator);
     else this.failures.delete(coordinator.id);
     if (answer === undefined || answer === 'silent') return answer;
-    return this.usable(answer, service) ?? 'silent';
+    return this.findUsable(answer, service) ?? 'silent';
   }
 
   /**
-   * Guards against a request that is sent to a target which is leaving, or gone: the
-   * coordinator may have read the list of targets a moment earlier.
+   * Returns the target unless it is draining or was removed. The coordinator
+   * may have read an earlier state of the target list.
    */
-  private usable(targetId: string, service: string): Target | undefined {
+  private findUsable(targetId: string, service: string): Target | undefined {
     const targets = this.context.directory.ofService(service);
     return targets.find(({id}) => id === targetId);
   }
 
   /**
-   * Guards against requests that go to a target which has failed this host again and
-   * again: it crashed, and has the least load of all where nobody has tried it yet.
+   * Lists the targets that the coordinator must not select. A target that
+   * crashed has failed this host repeatedly, but has the lowest load of all
+   * from the point of view of a coordinator that has not tried it.
    */
-  private excluded(
+  private excludedTargets(
     service: string,
     tried: ReadonlySet<string>,
   ): readonly string[] {
@@ -220,21 +248,21 @@
     return [...new Set([...tried, ...suspended])].slice(0, MAX_EXCLUDED);
   }
 
-  private answerTo(askId: number): Promise<string | undefined | 'silent'> {
+  private awaitAnswer(askId: number): Promise<string | undefined | 'silent'> {
     return new Promise(resolve => {
-      const timer = this.context.clock.after(ASK_TIMEOUT_MS, () => {
-        this.waiting.delete(askId);
+      const timer = this.context.clock.after(REQUEST_TIMEOUT_MS, () => {
+        this.pendingAnswers.delete(askId);
         resolve('silent');
       });
-      this.waiting.set(askId, targetId => {
-        this.waiting.delete(askId);
+      this.pendingAnswers.set(askId, targetId => {
+        this.pendingAnswers.delete(askId);
         timer[Symbol.dispose]();
         resolve(targetId);
       });
     });
   }
 
-  private failed({id}: P): void {
+  private recordTimeout({id}: P): void {
     const {clock, log} = this.context;
     const failures = (this.failures.get(id) ?? 0) + 1;
     this.failures.set(id, failures);
@@ -244,15 +272,15 @@
     log.event('coordinator-silent', {coordinator: id, pauseMs: PAUSE_MS});
   }
 
-  private answer(ask: PlaceAsk): void {
+  private handleRequest(ask: PlaceAsk): void {
     const {own, peer, send} = this.context;
     const to = peer(ask.host);
-    // A host that is not known yet falls back to its own view.
+    // A sender that is not known yet times out and uses its own view.
     if (!to) return;
-    const {target, itemsToEnd} = own.place(ask, to.dataCentre);
+    const {target, itemsToPreempt} = own.place(ask, to.dataCentre);
     send({kind: 'grant', askId: ask.askId, targetId: target?.id}, to);
     if (!target) return;
-    for (const {host, items} of itemsToEnd) {
+    for (const {host, items} of itemsToPreempt) {
       const holder = peer(host);
       if (holder) send({kind: 'yield', targetId: target.id, items}, holder);
     }
--- a/packages/gateway/src/lib/process/ready_server.ts
+++ b/packages/gateway/src/lib/process/ready_server.ts
@@ -1,17 +1,17 @@
-/** Answers the balancer's question whether this host takes new connections. */
+/** Answers readiness probes of the load balancer. */
 import {createServer, type Server} from 'node:http';
 
 const STATUS_OK = 200;
 const STATUS_UNAVAILABLE = 503;
 const STATUS_NOT_FOUND = 404;
 
-/** Says whether the process is ready. */
+/** HTTP server that reports whether the process is ready. */
 export class ReadyServer {
   private readonly server: Server;
 
   /**
-   * @param path - What is asked for.
-   * @param ready - Whether new connections are welcome.
+   * @param path - URL path of the probe.
+   * @param ready - Whether the process accepts new connections.
    */
   constructor(path: string, ready: () => boolean) {
     this.server = createServer((req, res) => {
@@ -23,8 +23,10 @@
   }
 
   /**
-   * @param ip - Where to listen.
-   * @param port - Where to listen.
+   * @param ip - IP address to listen on.
+   * @param port - Port to listen on.
+   * @returns Resolves when the server listens; rejects if the address is
+   *     unavailable.
    */
   listen(ip: string, port: number): Promise<void> {
     return new Promise((resolve, reject) => {
@@ -33,7 +35,7 @@
     });
   }
 
-  /** Stops answering. */
+  /** Closes the server and all its connections. */
   close(): void {
     this.server.close();
     this.server.closeAllConnections();
--- a/packages/gateway/src/lib/process/service_overload.ts
+++ b/packages/gateway/src/lib/process/service_overload.ts
@@ -1,6 +1,6 @@
 /**
- * What this host has observed of each service that decides, at a time of
- * overload, who may wait and when the others should come back.
+ * Observations of each service that decide, during an overload, which requests
+ * may be queued and when refused callers should retry.
  */
 import {
   PaceLearner,
@@ -14,49 +14,50 @@
 import type {Target} from '../connection/target.js';
 import type {TargetDirectory} from './target_directory.js';
 
-/** What a {@link ServiceOverload} needs. */
-export interface OverloadContext {
+/** Dependencies of {@link ServiceOverload}. */
+export interface ServiceOverloadContext {
   readonly clock: Clock;
   readonly random: Random;
   readonly directory: TargetDirectory;
-  /** @returns How many hosts are live, this one included. */
+  /** @returns Number of live hosts, including this one. */
   readonly hosts: () => number;
 }
 
-interface Observed {
+interface ServiceObservations {
   readonly learner: PaceLearner;
   readonly returns: ReturnTimes;
 }
 
 /** Observations by service. */
 export class ServiceOverload {
-  private readonly services = new Map<string, Observed>();
+  private readonly services = new Map<string, ServiceObservations>();
 
   /** @param context - Time, targets and hosts. */
-  constructor(private readonly context: OverloadContext) {}
+  constructor(private readonly context: ServiceOverloadContext) {}
 
   /**
-   * @param service - Whose target answered.
-   * @param run - What the run took; it found a free slot.
+   * @param service - Service of the target.
+   * @param run - Latencies of a run that found a free slot.
    */
   ran(service: string, run: ServicePace): void {
-    this.of(service).learner.add(run);
+    this.observationsOf(service).learner.add(run);
   }
 
-  /** @returns How many requests like this one may wait at a target. */
+  /** @returns How many requests with this demand may be queued at a target. */
   waitingPlaces({service, slots}: Target, demand: WaitDemand): number {
     const pace = this.services.get(service)?.learner.pace;
     return waitingPlaces(slots, demand, pace);
   }
 
   /**
-   * @param service - Whose targets had no place for a caller.
-   * @param latestMs - The latest return that the caller agrees to, in ms.
-   * @returns In how many milliseconds it should come back.
+   * @param service - Service without a free place for the request.
+   * @param latestMs - Longest retry delay that the caller accepts, in
+   *     milliseconds.
+   * @returns The retry delay, in milliseconds.
    */
   returnAfterMs(service: string, latestMs: number): number {
     const {clock, directory, hosts} = this.context;
-    const {learner, returns} = this.of(service);
+    const {learner, returns} = this.observationsOf(service);
     const targets = directory.ofService(service);
     const slots = targets.reduce((sum, target) => sum + target.slots, 0);
     const runMs = learner.pace?.runMs;
@@ -68,10 +69,10 @@
     });
   }
 
-  private of(service: string): Observed {
+  private observationsOf(service: string): ServiceObservations {
     const known = this.services.get(service);
     if (known) return known;
-    const observed: Observed = {
+    const observed: ServiceObservations = {
       learner: new PaceLearner(),
       returns: new ReturnTimes(this.context.random),
     };
--- a/packages/gateway/src/lib/process/target_chooser.ts
+++ b/packages/gateway/src/lib/process/target_chooser.ts
@@ -1,4 +1,7 @@
-/** Which target gets the next request: the least loaded, near ones first. */
+/**
+ * Selects the least loaded target for a request, with a preference for local
+ * ones.
+ */
 import type {Random, WaitDemand} from '@oathead/core';
 import {targetKey} from '../connection/load_message.js';
 import type {Target} from '../connection/target.js';
@@ -8,42 +11,54 @@
 import type {ServiceOverload} from './service_overload.js';
 import type {TargetDirectory} from './target_directory.js';
 import type {TargetSuspensions} from './target_suspensions.js';
-import {sharesOfExcess} from './yield_order.js';
+import {preemptionsByHost} from './preemption_order.js';
 
-/** How targets are compared, all in requests in flight. */
+/**
+ * Weights and limits of target selection. Penalties are numbers of requests in
+ * flight.
+ */
 export interface ChoiceWeights {
-  /** How much less loaded a target in another data centre must be: bytes
-   * between data centres are dear. */
+  /**
+   * How much less loaded a target in another data centre must be to be
+   * preferred over a local one: traffic between data centres is expensive.
+   */
   readonly remotePenalty: Readonly<Record<Lane, number>>;
-  /** Up to which share of its slots a target is filled with batch items: the
-   * rest is free for the first requests of a burst. */
+  /**
+   * Share of a target's slots up to which batch items are started. The
+   * remaining slots are free for the first requests of a burst.
+   */
   readonly batchStartShare: Readonly<Record<BatchPressure, number>>;
-  /** Beyond which share of its slots batch items give way. */
-  readonly batchYieldShare: number;
+  /** Share of a target's slots beyond which batch items are preempted. */
+  readonly batchPreemptionShare: number;
 }
 
-/** Whether items have time to wait for a quiet moment, or are due soon. */
+/** Whether batch items can wait for a time of low load or are urgent. */
 export type BatchPressure = 'relaxed' | 'pressed';
 
-/** Seven of eight slots are filled with items that have time, all with those
- * that are due soon; items give way when an online request would have to wait. */
+/**
+ * Batch items that can wait fill seven of eight slots, and urgent ones fill
+ * all. Items are preempted when an online request would otherwise have to wait.
+ */
 export const DEFAULT_CHOICE_WEIGHTS: ChoiceWeights = {
   remotePenalty: {online: 1.5, batch: 3},
   batchStartShare: {relaxed: 0.875, pressed: 1},
-  batchYieldShare: 1,
+  batchPreemptionShare: 1,
 };
 
-/** What a choice goes by. */
+/** State on which a selection is based, for the log. */
 export interface ChoiceView {
   readonly targets: number;
   readonly suspended: number;
-  /** The fewest online requests in flight at any of them. */
+  /**
+   * Lowest number of online requests in flight at any of the targets; undefined
+   * if there are no targets.
+   */
   readonly leastOnline: number | undefined;
 }
 
-type HasRoom = (target: Target, load: TargetLoad) => boolean;
+type HasCapacity = (target: Target, load: TargetLoad) => boolean;
 
-/** What a {@link TargetChooser} needs. */
+/** Dependencies of {@link TargetChooser}. */
 export interface TargetChooserContext {
   readonly dataCentre: string;
   readonly directory: TargetDirectory;
@@ -55,11 +70,11 @@
   readonly random: Random;
 }
 
-/** Chooses targets by the loads of all hosts. */
+/** Selects targets based on the loads of all hosts. */
 export class TargetChooser {
   /**
-   * @param context - What is known of the targets.
-   * @param weights - How they are compared.
+   * @param context - State of the targets.
+   * @param weights - Weights and limits of the selection.
    */
   constructor(
     private readonly context: TargetChooserContext,
@@ -67,10 +82,10 @@
   ) {}
 
   /**
-   * @param service - Whose targets can do it.
-   * @param demand - How long it may wait there.
-   * @param tried - Targets that had their try.
-   * @returns The target with the lowest score; undefined: none has room.
+   * @param service - Service that the target must provide.
+   * @param demand - Determines how many requests may be queued at the target.
+   * @param tried - IDs of targets that were tried already.
+   * @returns The target with the lowest score; undefined if none has room.
    */
   forRequest(
     service: string,
@@ -78,46 +93,53 @@
     tried: ReadonlySet<string>,
   ): Target | undefined {
     const {overload} = this.context;
-    const hasRoom: HasRoom = (target, {online}) =>
+    const hasCapacity: HasCapacity = (target, {online}) =>
       online < target.slots + overload.waitingPlaces(target, demand);
-    const isOpen = ({id}: Target) => !this.context.suspensions.has(id);
+    const isAvailable = ({id}: Target) => !this.context.suspensions.has(id);
     const targets = this.context.directory
       .ofService(service)
       .filter(({id}) => !tried.has(id));
-    // When all have failed lately, the fault may be on the way to them: to wait
-    // for the end of their suspensions would refuse what they could do.
-    const open = targets.some(isOpen) ? targets.filter(isOpen) : targets;
-    return this.best(open, 'online', hasRoom);
+    // If all targets have failed lately, the cause may be the network path to
+    // them. Waiting for their suspensions to end would refuse requests that
+    // they could serve.
+    const available = targets.some(isAvailable)
+      ? targets.filter(isAvailable)
+      : targets;
+    return this.best(available, 'online', hasCapacity);
   }
 
   /**
-   * @param service - Whose targets can do it.
-   * @param pressure - Whether the item is due soon.
-   * @returns The target with the lowest score; undefined: none has room.
+   * @param service - Service that the target must provide.
+   * @param pressure - Whether the item is urgent.
+   * @returns The target with the lowest score; undefined if none has a free
+   *     slot.
    */
   forItem(service: string, pressure: BatchPressure): Target | undefined {
     const {directory, homes} = this.context;
     const all = directory.ofService(service);
-    const mine = pressure === 'relaxed' ? homes.among(all) : all;
-    return this.bestForItem(mine, pressure);
+    const candidates = pressure === 'relaxed' ? homes.select(all) : all;
+    return this.bestForItem(candidates, pressure);
   }
 
   /**
-   * @param service - Whose targets can do it.
-   * @param demand - How long it may wait there.
-   * @param excluded - Targets, by id, that are out of the question.
-   * @returns The near target with the lowest score; undefined: none has room.
+   * Considers only targets of this data centre.
+   *
+   * @param service - Service that the target must provide.
+   * @param demand - Determines how many requests may be queued at the target.
+   * @param excluded - IDs of targets that must not be selected.
+   * @returns The local target with the lowest score; undefined if none has
+   *     room.
    */
-  forRequestNear(
+  forLocalRequest(
     service: string,
     demand: WaitDemand,
     excluded: ReadonlySet<string>,
   ): Target | undefined {
     const {directory, dataCentre} = this.context;
-    const far = directory
+    const remote = directory
       .ofService(service)
       .filter(target => target.dataCentre !== dataCentre);
-    const ids = [...excluded, ...far.map(({id}) => id)];
+    const ids = [...excluded, ...remote.map(({id}) => id)];
     return this.forRequest(service, demand, new Set(ids));
   }
 
@@ -127,21 +149,23 @@
   ): Target | undefined {
     const {suspensions} = this.context;
     const share = this.weights.batchStartShare[pressure];
-    const open = targets.filter(({id}) => !suspensions.has(id));
-    return this.best(open, 'batch', ({slots}, {online, batch}) => {
+    const available = targets.filter(({id}) => !suspensions.has(id));
+    return this.best(available, 'batch', ({slots}, {online, batch}) => {
       return online + batch < slots * share;
     });
   }
 
   /**
-   * The same for any host of the data centre, by the one that coordinates it.
+   * Selects a target for an item of any host of this data centre; used by the
+   * coordinator.
    *
-   * @param service - Whose targets can do it.
-   * @param pressure - Whether the item is due soon.
-   * @param excluded - Targets, by id, that are out of the question.
-   * @returns The target with the lowest score; undefined: none has room.
+   * @param service - Service that the target must provide.
+   * @param pressure - Whether the item is urgent.
+   * @param excluded - IDs of targets that must not be selected.
+   * @returns The target with the lowest score; undefined if none has a free
+   *     slot.
    */
-  forItemOfDataCentre(
+  forCoordinatedItem(
     service: string,
     pressure: BatchPressure,
     excluded: ReadonlySet<string>,
@@ -150,35 +174,43 @@
     const all = directory
       .ofService(service)
       .filter(({id}) => !excluded.has(id));
-    const near = all.filter(target => target.dataCentre === dataCentre);
-    return this.bestForItem(pressure === 'relaxed' ? near : all, pressure);
+    const local = all.filter(target => target.dataCentre === dataCentre);
+    return this.bestForItem(pressure === 'relaxed' ? local : all, pressure);
   }
 
   /**
    * @param target - A target.
-   * @param share - Of its slots.
-   * @returns Whether it is near and no more than that share is in use.
+   * @param share - Share of its slots, from 0 to 1.
+   * @returns Whether it is local and less than that share of its slots is in
+   *     use.
    */
-  isCalm({id, slots, dataCentre}: Target, share: number): boolean {
+  isLoadBelow({id, slots, dataCentre}: Target, share: number): boolean {
     const {online, batch} = this.context.loads.at(targetKey(id));
-    const isNear = dataCentre === this.context.dataCentre;
-    return isNear && online + batch < slots * share;
+    const isLocal = dataCentre === this.context.dataCentre;
+    return isLocal && online + batch < slots * share;
   }
 
-  /** @returns Targets of a service, by id, that have just failed this host. */
+  /**
+   * @returns IDs of the targets of a service that are suspended by this host.
+   */
   suspended(service: string): readonly string[] {
     const {directory, suspensions} = this.context;
     const ids = directory.ofService(service).map(({id}) => id);
     return ids.filter(id => suspensions.has(id));
   }
 
-  /** @returns Whether a service has a target, full or not, that was not tried. */
+  /**
+   * @returns Whether a service has a target, full or not, that was not tried.
+   */
   hasOther(service: string, tried: ReadonlySet<string>): boolean {
     const targets = this.context.directory.ofService(service);
     return targets.some(({id}) => !tried.has(id));
   }
 
-  /** @returns What a choice among a service's targets goes by, for the log. */
+  /**
+   * @returns State on which a selection among the targets of a service is
+   *     based, for the log.
+   */
   view(service: string): ChoiceView {
     const {directory, suspensions, loads} = this.context;
     const targets = directory.ofService(service);
@@ -191,50 +223,53 @@
   }
 
   /**
-   * How many batch items of this host must give way at a target.
-   *
-   * @param target - Where this host runs items.
-   * @param host - This host's name in the loads.
-   * @returns How many of its items have to end.
+   * @param target - A target that runs items of this host.
+   * @param host - ID of this host in load reports.
+   * @returns Number of this host's batch items that must be preempted there.
    */
   itemsToYield(target: Target, host: string): number {
-    if (this.context.loads.ownAt(targetKey(target.id)).batch === 0) return 0;
-    return this.itemsToYieldByHost(target, host).get(host) ?? 0;
+    if (this.context.loads.ownLoadAt(targetKey(target.id)).batch === 0)
+      return 0;
+    return this.itemsToPreemptByHost(target, host).get(host) ?? 0;
   }
 
   /**
-   * @param target - Where an online request was placed.
-   * @param self - This host's name in the loads.
-   * @returns How many items have to end there, by host of this data centre.
+   * @param target - Target of a new online request.
+   * @param self - ID of this host in load reports.
+   * @returns Number of items to preempt there, by host of this data centre.
    */
-  itemsToYieldByHost(
+  itemsToPreemptByHost(
     target: Target,
     self: string,
   ): ReadonlyMap<string, number> {
     const key = targetKey(target.id);
     const {loads, dataCentre} = this.context;
     const {online, batch} = loads.at(key);
-    const limit = Math.floor(target.slots * this.weights.batchYieldShare);
+    const limit = Math.floor(target.slots * this.weights.batchPreemptionShare);
     const excess = online + batch - limit;
     if (excess <= 0) return new Map();
     const hosts = new Map(loads.hostsWithItems(key));
-    const own = loads.ownAt(key);
+    const own = loads.ownLoadAt(key);
     if (own.batch > 0) hosts.set(self, own);
     const dataCentres = loads.dataCentresWithItems(key);
-    return sharesOfExcess(target.id, {dataCentre, hosts, dataCentres}, excess);
+    return preemptionsByHost(
+      target.id,
+      {dataCentre, hosts, dataCentres},
+      excess,
+    );
   }
 
   private best(
     targets: readonly Target[],
     lane: Lane,
-    hasRoom: HasRoom,
+    hasCapacity: HasCapacity,
   ): Target | undefined {
     let best: Target | undefined;
     let bestScore = Infinity;
     for (const target of targets) {
       const load = this.context.loads.at(targetKey(target.id));
       const score = this.score(target, lane, load);
-      if (score >= bestScore || !hasRoom(target, load)) continue;
+      if (score >= bestScore || !hasCapacity(target, load)) continue;
       best = target;
       bestScore = score;
     }
@@ -244,11 +279,11 @@
   private score(target: Target, lane: Lane, load: TargetLoad): number {
     const {dataCentre, random, health} = this.context;
     const {remotePenalty} = this.weights;
-    const far = target.dataCentre === dataCentre ? 0 : remotePenalty[lane];
-    // Half a request of chance keeps hosts that see the same loads from all
-    // choosing the same target. One more request weighs the more, the smaller
-    // the share that the target deserves.
+    const penalty = target.dataCentre === dataCentre ? 0 : remotePenalty[lane];
+    // A random term of up to half a request keeps hosts that see the same loads
+    // from all choosing the same target. One more request weighs more the
+    // smaller the target's share is.
     const inFlight = load.online + load.batch + 1 + random.float() / 2;
-    return inFlight / health.share(target) + far;
+    return inFlight / health.share(target) + penalty;
   }
 }
--- a/packages/gateway/src/lib/process/target_directory.ts
+++ b/packages/gateway/src/lib/process/target_directory.ts
@@ -1,130 +1,148 @@
-/** The targets that are known, by id and by service. */
+/** Directory of the known targets, by ID and by service. */
 import {isDeepStrictEqual} from 'node:util';
 import type {Clock, EventLog} from '@oathead/core';
 import {LRUCache} from 'lru-cache';
 import type {Target} from '../connection/target.js';
 
-/** What a {@link TargetDirectory} needs. */
+/** Dependencies of {@link TargetDirectory}. */
 export interface TargetDirectoryContext {
   readonly clock: Clock;
   readonly log: EventLog;
 }
 
-/** Servers whose newest run is remembered after it has left the list: three times
- * the 3,100 targets of the design size. */
-const MAX_REMEMBERED_RUNS = 10_000;
-/** A longer time between two readings of the list is an outage, in milliseconds:
- * beyond the longest wait for a change of it. */
+/**
+ * Number of servers whose latest incarnation is remembered after they have left
+ * the list: three times the 3,100 targets that the system is designed for.
+ */
+const MAX_REMEMBERED_INCARNATIONS = 10_000;
+/**
+ * A longer gap between two reads of the list counts as an outage, in
+ * milliseconds. It exceeds the longest wait for a change of the list.
+ */
 const OUTAGE_MS = 1500;
 
-/** Keeps the list of targets. */
+/** Maintains the set of targets from updates of the target list. */
 export class TargetDirectory {
   private readonly targets = new Map<string, Target>();
   private readonly services = new Map<string, readonly Target[]>();
-  private readonly removals = new Map<string, Disposable>();
-  private readonly goneListeners: Array<(id: string) => void> = [];
-  /** The newest run of each server, by server id, listed or not. */
-  private readonly newestRuns = new LRUCache<string, Target>({
-    max: MAX_REMEMBERED_RUNS,
+  private readonly pendingRemovals = new Map<string, Disposable>();
+  private readonly removalListeners: Array<(id: string) => void> = [];
+  /** Latest incarnation of each server, listed or not, by server ID. */
+  private readonly latestIncarnations = new LRUCache<string, Target>({
+    max: MAX_REMEMBERED_INCARNATIONS,
   });
-  /** Who waits for the end of a run, by server id. */
-  private readonly runEnds = new Map<string, Map<() => void, string>>();
+  /** Restart listeners with the target ID that each waits for, by server ID. */
+  private readonly restartListeners = new Map<
+    string,
+    Map<() => void, string>
+  >();
 
-  private readAt = -Infinity;
-  /** Since when the list has been read without an outage. */
-  private followedSince = Infinity;
+  private lastReadAt = -Infinity;
+  /** Start of the current period of reads without an outage. */
+  private uninterruptedSince = Infinity;
 
-  /** @param context - Time, and where changes are written. */
+  /** @param context - The clock, and the log for changes. */
   constructor(private readonly context: TargetDirectoryContext) {}
 
   /**
-   * To be called with each reading of the list, before what it says.
+   * Records a read of the list; to be called before its entries are applied.
    *
-   * @returns Whether there was an outage before it.
+   * @returns Whether an outage preceded this read.
    */
   listRead(): boolean {
     const now = this.context.clock.now();
-    const afterOutage = now - this.readAt > OUTAGE_MS;
-    if (afterOutage) this.followedSince = now;
-    this.readAt = now;
-    return afterOutage;
+    const isAfterOutage = now - this.lastReadAt > OUTAGE_MS;
+    if (isAfterOutage) this.uninterruptedSince = now;
+    this.lastReadAt = now;
+    return isAfterOutage;
   }
 
   /**
-   * @param id - A run of a server.
-   * @param forMs - In milliseconds.
-   * @returns Whether it is listed, and the list has been read for that long.
+   * @param id - A target, which is one incarnation of a server.
+   * @param forMs - Duration in milliseconds.
+   * @returns Whether the target is listed and the list has been read without an
+   *     outage for at least that long.
    */
   isListedFor(id: string, forMs: number): boolean {
     const now = this.context.clock.now();
-    const followed = now - this.readAt <= OUTAGE_MS;
-    const longEnough = now - this.followedSince >= forMs;
-    return followed && longEnough && this.targets.has(id);
+    const isFollowed = now - this.lastReadAt <= OUTAGE_MS;
+    const isLongEnough = now - this.uninterruptedSince >= forMs;
+    return isFollowed && isLongEnough && this.targets.has(id);
   }
 
-  /** @param listener - Called with the id of each target that is gone. */
+  /** @param listener - Called with the ID of each target that is removed. */
   onGone(listener: (id: string) => void): void {
-    this.goneListeners.push(listener);
+    this.removalListeners.push(listener);
   }
 
   /**
-   * Guards against a wait for a run that is over: a server that lost its power
-   * and came back under its id resets nothing, and what was sent to the run
-   * before would wait for its answer until the caller's time is over.
+   * Subscribes to the restart of a server while a request waits for one of its
+   * incarnations. A server that lost power and came back under the same ID
+   * sends no connection reset, so without this signal a request to the earlier
+   * incarnation would wait until the caller's deadline.
    *
-   * @param target - The run that is waited for.
-   * @param listener - Called when its server is known to run anew.
-   * @returns To be disposed when nothing is waited for any more.
+   * @param target - The incarnation that the request waits for.
+   * @param listener - Called when a later incarnation of the server is known.
+   * @returns Ends the subscription when disposed.
    */
   onceRestarted(target: Target, listener: () => void): Disposable {
     const {serverId} = target;
-    const waiting = this.runEnds.get(serverId) ?? new Map<() => void, string>();
-    this.runEnds.set(serverId, waiting);
-    waiting.set(listener, target.id);
+    const listeners =
+      this.restartListeners.get(serverId) ?? new Map<() => void, string>();
+    this.restartListeners.set(serverId, listeners);
+    listeners.set(listener, target.id);
     return {
       [Symbol.dispose]: () => {
-        waiting.delete(listener);
-        if (waiting.size === 0 && this.runEnds.get(serverId) === waiting)
-          this.runEnds.delete(serverId);
+        listeners.delete(listener);
+        if (
+          listeners.size === 0 &&
+          this.restartListeners.get(serverId) === listeners
+        )
+          this.restartListeners.delete(serverId);
       },
     };
   }
 
-  /** How many targets are known, leaving ones included. */
+  /** Number of known targets, including draining ones. */
   get size(): number {
     return this.targets.size;
   }
 
-  /** @returns The target of this id, unless it is gone. */
+  /** @returns The target with this ID; undefined if it was removed. */
   get(id: string): Target | undefined {
     return this.targets.get(id);
   }
 
-  /** @returns The targets of a service that may get something new. */
+  /** @returns The targets of a service that accept new requests. */
   ofService(service: string): readonly Target[] {
     return this.services.get(service) ?? [];
   }
 
-  /** @param target - A target that is new or has changed. */
+  /**
+   * Adds or updates a target. An entry of an earlier incarnation is ignored.
+   *
+   * @param target - A target that is new or has changed.
+   */
   put(target: Target): void {
-    const newest = this.newestRuns.get(target.serverId);
-    if (newest && isOlderRun(target, newest)) {
+    const newest = this.latestIncarnations.get(target.serverId);
+    if (newest && isEarlierIncarnation(target, newest)) {
       this.context.log.event('target-stale', {
         target: target.id,
         newest: newest.id,
       });
       return;
     }
-    this.keep(target.serverId);
-    this.newestRuns.set(target.serverId, target);
-    if (newest && newest.id !== target.id) this.restarted(newest, target);
+    this.cancelRemoval(target.serverId);
+    this.latestIncarnations.set(target.serverId, target);
+    if (newest && newest.id !== target.id) this.handleRestart(newest, target);
     const known = this.targets.get(target.id);
-    // Most changes of an entry say nothing new about the target, and there may
-    // be thousands of targets to go through.
+    // Most updates of an entry do not change the target, and rebuilding the
+    // index iterates over up to thousands of targets.
     if (known && isDeepStrictEqual(known, target)) return;
     this.targets.set(target.id, target);
-    this.index(target.service);
-    if (known && known.service !== target.service) this.index(known.service);
+    this.rebuildIndex(target.service);
+    if (known && known.service !== target.service)
+      this.rebuildIndex(known.service);
     if (known?.leaving === target.leaving) return;
     this.context.log.event(
       target.leaving ? 'target-leaving' : 'target-listed',
@@ -137,62 +155,67 @@
   }
 
   /**
-   * Takes a server off the list.
+   * Removes a server.
    *
-   * Guards against the loss of live targets after an outage of the list's
-   * store: their entries lapse while they can't renew them, and are back
-   * shortly after. With `graceMs` the target stays until then.
+   * With `graceMs`, the target stays in use for that time and the removal is
+   * cancelled if its entry reappears. During an outage of the store that holds
+   * the list, live targets cannot renew their entries; these expire and are
+   * back shortly afterwards, and removing the targets at once would lose them
+   * all.
    *
-   * @param serverId - The server.
-   * @param graceMs - How long it is still used, in milliseconds; 0: not at all.
+   * @param serverId - ID of the server.
+   * @param graceMs - How long the target stays in use, in milliseconds; 0 to
+   *     remove it immediately.
    */
   remove(serverId: string, graceMs: number): void {
-    const target = this.listedRun(serverId);
-    if (!target || this.removals.has(serverId)) return;
+    const target = this.listedIncarnation(serverId);
+    if (!target || this.pendingRemovals.has(serverId)) return;
     if (graceMs === 0) {
-      this.drop(target, graceMs);
+      this.removeNow(target, graceMs);
       return;
     }
     const {clock} = this.context;
-    this.removals.set(
+    this.pendingRemovals.set(
       serverId,
-      clock.after(graceMs, () => this.drop(target, graceMs)),
+      clock.after(graceMs, () => this.removeNow(target, graceMs)),
     );
   }
 
-  private listedRun(serverId: string): Target | undefined {
-    const newest = this.newestRuns.get(serverId);
+  private listedIncarnation(serverId: string): Target | undefined {
+    const newest = this.latestIncarnations.get(serverId);
     return newest && this.targets.get(newest.id);
   }
 
-  private restarted(before: Target, now: Target): void {
+  private handleRestart(before: Target, now: Target): void {
     const {serverId} = now;
     this.context.log.event('target-restarted', {
       target: now.id,
       before: before.id,
     });
-    if (this.targets.has(before.id)) this.drop(before, 0);
-    for (const [listener, runId] of [...(this.runEnds.get(serverId) ?? [])])
-      if (runId !== now.id) listener();
+    if (this.targets.has(before.id)) this.removeNow(before, 0);
+    for (const [listener, awaitedId] of [
+      ...(this.restartListeners.get(serverId) ?? []),
+    ])
+      if (awaitedId !== now.id) listener();
   }
 
-  private drop(target: Target, graceMs: number): void {
+  private removeNow(target: Target, graceMs: number): void {
     const {id, serverId} = target;
-    this.keep(serverId);
+    this.cancelRemoval(serverId);
     const listed = this.targets.get(id);
     if (!listed) return;
     this.targets.delete(id);
-    this.index(listed.service);
+    this.rebuildIndex(listed.service);
     this.context.log.event('target-gone', {target: id, graceMs});
-    for (const listener of this.goneListeners) listener(id);
+    for (const listener of this.removalListeners) listener(id);
   }
 
-  private keep(serverId: string): void {
-    this.removals.get(serverId)?.[Symbol.dispose]();
-    this.removals.delete(serverId);
+  private cancelRemoval(serverId: string): void {
+    this.pendingRemovals.get(serverId)?.[Symbol.dispose]();
+    this.pendingRemovals.delete(serverId);
   }
 
-  private index(service: string): void {
+  private rebuildIndex(service: string): void {
     const usable = [...this.targets.values()].filter(
       target => target.service === service && !target.leaving,
     );
@@ -200,9 +223,12 @@
   }
 }
 
-/** An entry that was written by the run before may arrive after the one of the
- * run that is alive: a write without an answer is carried out seconds late. */
-function isOlderRun(
+/**
+ * The entry of an earlier incarnation may arrive after the entry of the live
+ * one, because a write that timed out can still be applied by the store seconds
+ * later.
+ */
+function isEarlierIncarnation(
   {startedAtMs}: Target,
   {startedAtMs: newestStartMs}: Target,
 ): boolean {
--- a/packages/gateway/src/lib/process/target_suspensions.ts
+++ b/packages/gateway/src/lib/process/target_suspensions.ts
@@ -1,102 +1,110 @@
 /**
- * Targets that have just failed get nothing for a while, longer with each
- * failure in a row; one success clears them.
+ * Suspends targets that have failed, for a time that grows exponentially with
+ * consecutive failures. One success ends the suspension.
  *
- * Guards against sending request after request to a target that crashed or
- * went dark before the list of targets says so: it has the least load of all.
+ * A target that crashed or became unreachable has the lowest load of all, and
+ * would get request after request until it is removed from the target list.
  */
 import type {Clock, EventLog} from '@oathead/core';
 
-/** The first pause, in milliseconds: a few times a retry's round trip. */
-const FIRST_PAUSE_MS = 100;
-/** The longest pause, in milliseconds: within it the list has dropped a dead
- * target, or a restarted one has a new id. */
-const LONGEST_PAUSE_MS = 3000;
-/** A full target has room again after a few stream events, in milliseconds. */
-const FULL_PAUSE_MS = 40;
-/** The longest pause of a target that keeps saying that it is full, in ms. It is
- * full of what the loads of hosts do not tell, such as requests of callers that
- * have left: two such targets were sent 400 items a second by eight hosts, and
- * declined 1,044 of them within 2.6 s, while each pause was 40 ms. */
-const LONGEST_FULL_PAUSE_MS = 640;
+/** First suspension, in milliseconds: a few round trips of a retry. */
+const BASE_SUSPENSION_MS = 100;
+/**
+ * Maximum suspension, in milliseconds. Within this time a dead target is
+ * removed from the list, or the restarted server is listed under a new ID.
+ */
+const MAX_SUSPENSION_MS = 3000;
+/**
+ * First suspension of a full target, in milliseconds. It has free slots again
+ * after a few stream events.
+ */
+const BASE_FULL_SUSPENSION_MS = 40;
+/**
+ * Maximum suspension of a target that keeps declining requests because it is
+ * full, in milliseconds. Such a target is occupied by requests that are missing
+ * in the load reports, such as those of callers that have disconnected. With a
+ * constant suspension of 40 ms, eight hosts sent 400 items per second to two
+ * such targets, which declined 1,044 of them within 2.6 s.
+ */
+const MAX_FULL_SUSPENSION_MS = 640;
 
 interface Suspension {
   readonly failures: number;
-  /** How often it said that it was full, in a row. */
+  /** Number of consecutive responses that the target is full. */
   readonly declines: number;
   readonly until: number;
 }
 
-/** Who is suspended, and until when. */
+/** Suspended targets with the end of their suspension. */
 export class TargetSuspensions {
   private readonly suspended = new Map<string, Suspension>();
-  private readonly heardAt = new Map<string, number>();
+  private readonly lastActivityAt = new Map<string, number>();
 
   /**
-   * @param clock - Time for the pauses.
-   * @param log - Where suspensions are written.
+   * @param clock - Time for the suspensions.
+   * @param log - Log for the suspensions.
    */
   constructor(
     private readonly clock: Clock,
     private readonly log: EventLog,
   ) {}
 
-  /** @param id - A target from which something came. */
+  /** @param id - ID of a target from which any data was received. */
   heard(id: string): void {
-    this.heardAt.set(id, this.clock.now());
+    this.lastActivityAt.set(id, this.clock.now());
   }
 
   /**
-   * @param id - A target.
-   * @param since - A time of the clock.
-   * @returns Whether anything came from it since then.
+   * @param id - ID of a target.
+   * @param since - A time of the clock, in milliseconds.
+   * @returns Whether any data was received from it since then.
    */
   heardSince(id: string, since: number): boolean {
-    return (this.heardAt.get(id) ?? -Infinity) > since;
+    return (this.lastActivityAt.get(id) ?? -Infinity) > since;
   }
 
-  /** @returns Whether the target should get nothing now. */
+  /** @returns Whether the target is suspended. */
   has(id: string): boolean {
     const until = this.suspended.get(id)?.until;
     return until !== undefined && until > this.clock.now();
   }
 
-  /** @param id - A target that gave a whole answer. */
+  /** @param id - ID of a target that completed a response. */
   succeeded(id: string): void {
     this.suspended.delete(id);
   }
 
-  /** @param id - A target that said it was full. */
+  /** @param id - ID of a target that declined a request because it is full. */
   declined(id: string): void {
-    // Requests that were on their way together tell the same once.
+    // Requests that were in flight at the same time count as one.
     if (this.has(id)) return;
     const {failures = 0, declines = 0} = this.suspended.get(id) ?? {};
     const pauseMs = Math.min(
-      FULL_PAUSE_MS * 2 ** declines,
-      LONGEST_FULL_PAUSE_MS,
+      BASE_FULL_SUSPENSION_MS * 2 ** declines,
+      MAX_FULL_SUSPENSION_MS,
     );
     const until = this.clock.now() + pauseMs;
     this.suspended.set(id, {failures, declines: declines + 1, until});
   }
 
   /**
-   * @param id - A target that broke off, or could not be reached.
-   * @param reason - How, for the log.
+   * @param id - ID of a target that broke off a connection or was unreachable.
+   * @param reason - The error, for the log.
    */
   failed(id: string, reason: string): void {
     const failures = (this.suspended.get(id)?.failures ?? 0) + 1;
     const pauseMs = Math.min(
-      FIRST_PAUSE_MS * 2 ** (failures - 1),
-      LONGEST_PAUSE_MS,
+      BASE_SUSPENSION_MS * 2 ** (failures - 1),
+      MAX_SUSPENSION_MS,
     );
     const until = this.clock.now() + pauseMs;
     this.suspended.set(id, {failures, declines: 0, until});
     this.log.event('target-suspended', {target: id, reason, failures, pauseMs});
   }
 
-  /** @param id - A target that is gone. */
+  /** @param id - ID of a target that was removed. */
   forget(id: string): void {
-    this.heardAt.delete(id);
+    this.lastActivityAt.delete(id);
     this.suspended.delete(id);
   }
 }
--- a/packages/gateway/src/test/process/account_quotas_test.ts
+++ b/packages/gateway/src/test/process/account_quotas_test.ts
@@ -6,19 +6,27 @@
 const LARGE: RequestQuota = {perSecond: 64, burst: 64};
 const SMALL: RequestQuota = {perSecond: 3, burst: 3};
 const QUOTAS = {large: LARGE, small: SMALL, calm: SMALL};
-/** Of a quota that a flood sends, and that a calm account sends. */
+/**
+ * Request rates of a flooding and of a calm account, as multiples of their
+ * quota.
+ */
 const FLOOD = 4.7;
 const CALM = 0.6;
 
-function most({perSecond, burst}: RequestQuota): number {
+function maxInWindow({perSecond, burst}: RequestQuota): number {
   const {windowMs, overage, slack} = TOLERANCE;
   return (perSecond * (windowMs / 1000) + burst) * (1 + overage) + slack;
 }
 
-/** Before that all accounts are quiet, and save up their bursts. */
+/**
+ * Time before which no account sends requests, so that all of them accumulate
+ * their full bursts.
+ */
 const FLOOD_AT_MS = 2500;
 
-/** Two accounts send far more than their quota, the third is well within it. */
+/**
+ * Two accounts send far more than their quota; the third stays well within it.
+ */
 function perSecond(account: string, atMs: number): number {
   if (atMs < FLOOD_AT_MS) return 0;
   return account === 'calm'
@@ -32,41 +40,42 @@
 ) {
   for (const account of ['large', 'small'] as const) {
     const counted = fleet.mostInWindow(account, TOLERANCE.windowMs);
-    const bound = most(QUOTAS[account]);
+    const bound = maxInWindow(QUOTAS[account]);
     t.true(counted <= bound, `${account}: ${counted} of ${bound}`);
   }
 }
 
-const PLAY = {
+const FLEET = {
   quotas: QUOTAS,
   tolerance: TOLERANCE,
   perSecond,
   lengthMs: 14_000,
 };
 
-// An account that floods all hosts gets its quota once at each of them, or others that
-// send little are refused at hosts where they have a small part.
+// Guards against an account that floods all hosts and gets its whole quota at
+// each of them, and against refusals for accounts that send little and have
+// only a small part of their quota at a host.
 for (const hosts of [9, 28, 88]) {
-  test(`a flood at ${hosts} hosts gets its quota, others are not refused`, async t => {
-    const fleet = await QuotaFleet.run({...PLAY, hosts});
+  test(`a flood at ${hosts} hosts gets its quota and others are not refused`, async t => {
+    const fleet = await QuotaFleet.run({...FLEET, hosts});
     assertWithin(t, fleet);
     t.true(fleet.mostInWindow('large', 5000) >= LARGE.perSecond * 5);
     t.is(fleet.refusedShare('calm'), 0);
   });
 }
 
-// All of an account's callers come to one host, and then to another.
-test('a quota moves with its demand at once', async t => {
+// All callers of an account switch from one host to another at the same moment.
+test('a quota follows its demand to another host at once', async t => {
   const hostOf = (account: string, at: number) => (at < 7000 ? 3 : 17);
-  const fleet = await QuotaFleet.run({...PLAY, hosts: 28, hostOf});
+  const fleet = await QuotaFleet.run({...FLEET, hosts: 28, hostOf});
   assertWithin(t, fleet);
   t.is(fleet.refusedShare('calm'), 0);
 });
 
-// Half of the hosts can't reach the other half while an account floods both.
-test('a cut through the fleet does not give the quota twice', async t => {
+// Half of the hosts cannot reach the other half while an account floods both.
+test('a network partition does not grant the quota twice', async t => {
   const fleet = await QuotaFleet.run({
-    ...PLAY,
+    ...FLEET,
     hosts: 28,
     onTick: (fleet, at) => {
       const isCut = at >= 5000 && at < 10_000;
@@ -76,10 +85,11 @@
   assertWithin(t, fleet);
 });
 
-// Each host in turn is lost, and the one that counts starts anew with a full burst.
-test('hosts that are lost and start anew grant no second burst', async t => {
+// All hosts fail and restart, and each owner of an account starts counting anew
+// with a full burst.
+test('hosts that fail and restart grant no second burst', async t => {
   const fleet = await QuotaFleet.run({
-    ...PLAY,
+    ...FLEET,
     hosts: 28,
     onTick: (fleet, at) => {
       if (at === 5000) for (let i = 0; i < 28; i++) fleet.lose(i);
@@ -89,11 +99,11 @@
   assertWithin(t, fleet);
 });
 
-// Hosts come while an account floods, and hosts learn of them at other times: two of
-// them count the same account.
-test('hosts that come and go grant no second quota', async t => {
+// Hosts join and fail during a flood. As the others learn of it at different
+// times, two hosts may count the same account.
+test('hosts that join and fail grant no second quota', async t => {
   const fleet = await QuotaFleet.run({
-    ...PLAY,
+    ...FLEET,
     hosts: 28,
     onTick: (fleet, at) => {
       if (at === 4000) for (let i = 0; i < 8; i++) fleet.addHost();
@@ -105,11 +115,12 @@
   assertWithin(t, fleet);
 });
 
-// A network that loses each tenth datagram does not refuse what is within a quota.
-test('lost datagrams refuse little of what is within a quota', async t => {
+// Requests within a quota must not be refused because the network loses every
+// tenth datagram.
+test('with datagram loss few requests within a quota are refused', async t => {
   let sent = 0;
   const fleet = await QuotaFleet.run({
-    ...PLAY,
+    ...FLEET,
     hosts: 28,
     onTick: fleet => {
       fleet.reaches = () => ++sent % 10 !== 0;
--- a/packages/gateway/src/test/process/crash_suspects_test.ts
+++ b/packages/gateway/src/test/process/crash_suspects_test.ts
@@ -8,29 +8,29 @@
 import {TargetDirectory} from '../../lib/process/target_directory.js';
 import {targetOf} from '../fakes/targets.js';
 
-/** Three heartbeats of 1.2 s. */
-const LAPSE_MS = 3600;
-/** Beyond the lapse and the time in which hosts read of it. */
-const KNOWN_LATER_MS = 8000;
+/** Three heartbeat intervals of 1.2 s. */
+const EXPIRY_MS = 3600;
+/** Exceeds the expiry time plus the time that hosts take to read of it. */
+const EXPIRY_KNOWN_MS = 8000;
 const READ_EVERY_MS = 250;
 const TARGETS = ['i-1', 'i-2', 'i-3'] as const;
 
-/** Suspects, the list of targets, and a time that a test sets. */
+/** Creates suspects and a target list with a clock that the test controls. */
 function newSuspects() {
   let now = 0;
   const clock: Clock = {...SYSTEM_CLOCK, now: () => now};
   const store = new MemoryRowStore(clock);
   const log = NO_EVENT_LOG;
   const directory = new TargetDirectory({clock, log});
-  const lapseMs = () => LAPSE_MS;
+  const lapseMs = () => EXPIRY_MS;
   return {
     suspects: new CrashSuspects({store, clock, log, directory, lapseMs}),
     directory,
-    pass: (ms: number) => {
+    advance: (ms: number) => {
       now += ms;
     },
-    /** Lets time pass in which the list is read again and again. */
-    follow: (ms: number) => {
+    /** Advances the clock with regular reads of the list. */
+    advanceWithReads: (ms: number) => {
       for (let i = 0; i < ms; i += READ_EVERY_MS) {
         now += READ_EVERY_MS;
         directory.listRead();
@@ -39,7 +39,7 @@
   };
 }
 
-function heardOf(print: string, targets: readonly string[]) {
+function updateOf(print: string, targets: readonly string[]) {
   const value = Buffer.from(JSON.stringify({targets, at: Date.now()}));
   const row = {
     table: SUSPECT_TABLE,
@@ -51,9 +51,9 @@
   return {put: [row], removed: [], storeTimeMs: 0};
 }
 
-// One request takes down server after server, each of which is back under the id
-// it had: every run of a server counts.
-test('runs of one server that crashed are counted each', t => {
+// One request crashes server after server, and each of them comes back under
+// its ID. Every incarnation of a server must count.
+test('each crashed incarnation of one server counts', t => {
   const {suspects} = newSuspects();
   for (const id of ['i-1@1', 'i-1@2']) suspects.broke('p', id);
   t.false(suspects.isBlocked('p'));
@@ -61,18 +61,18 @@
   t.true(suspects.isBlocked('p'));
 });
 
-// Two hosts saw the same request crash different targets and wrote it down at the
-// same time: neither may take away what the other knows.
-test('what two hosts know of a request adds up', t => {
+// Two hosts see the same request crash different targets and record it
+// concurrently. Neither write may discard what the other host knows.
+test('targets that two hosts recorded for a request are merged', t => {
   const {suspects} = newSuspects();
   suspects.broke('p', 'a');
-  suspects.update(heardOf('p', ['a', 'b']));
+  suspects.update(updateOf('p', ['a', 'b']));
   t.false(suspects.isBlocked('p'));
-  suspects.update(heardOf('p', ['c']));
+  suspects.update(updateOf('p', ['c']));
   t.true(suspects.isBlocked('p'));
 });
 
-/** Three targets are listed, and the same request breaks at each of them. */
+/** Lists three targets and lets the same request break at each of them. */
 function brokenAtThree() {
   const parts = newSuspects();
   parts.directory.listRead();
@@ -81,76 +81,83 @@
   return parts;
 }
 
-// An item is late by a minute although nothing is wrong with it: three servers that
-// live lost its answers. They are still listed when the entry of a server that
-// crashed would have lapsed.
-test('targets that stay listed were not crashed', t => {
-  const {suspects, follow} = brokenAtThree();
+// A harmless item is delayed by a minute: three live servers lost its
+// responses. They are still listed when the entry of a crashed server would
+// have expired.
+test('targets that stay listed do not count as crashed', t => {
+  const {suspects, advanceWithReads} = brokenAtThree();
   t.true(suspects.isBlocked('p'));
-  follow(KNOWN_LATER_MS);
+  advanceWithReads(EXPIRY_KNOWN_MS);
   t.false(suspects.isBlocked('p'));
 });
 
-// A request that crashes servers is sent again too soon: only those of its three
-// servers that live on may be taken off what counts against it.
-test('targets that left the list count on', t => {
-  const {suspects, directory, follow} = brokenAtThree();
+// A poison request is sent again too early. Only those of its three servers
+// that stay alive may be removed from its record.
+test('targets that left the list still count as crashed', t => {
+  const {suspects, directory, advanceWithReads} = brokenAtThree();
   directory.remove('i-1', 0);
-  follow(KNOWN_LATER_MS);
+  advanceWithReads(EXPIRY_KNOWN_MS);
   t.false(suspects.isBlocked('p'));
   for (const id of ['i-2', 'i-3']) directory.remove(id, 0);
   t.true(suspects.isBlocked('p'));
 });
 
-// Server after server falls to one request while the list can't be read: that a
-// server still stands in what was read before proves nothing.
-test('a list that is not followed proves no life', t => {
-  const {suspects, directory, follow, pass} = brokenAtThree();
-  pass(KNOWN_LATER_MS);
+// A poison request crashes server after server while the list cannot be read.
+// That a server is listed in the last state read does not prove that it is
+// alive.
+test('a list that is not being read does not prove that targets are alive', t => {
+  const {suspects, directory, advanceWithReads, advance} = brokenAtThree();
+  advance(EXPIRY_KNOWN_MS);
   t.true(suspects.isBlocked('p'));
   directory.listRead();
   t.true(suspects.isBlocked('p'));
-  follow(KNOWN_LATER_MS);
+  advanceWithReads(EXPIRY_KNOWN_MS);
   t.false(suspects.isBlocked('p'));
 });
 
-/** The same, and all three targets left the list: they crashed. */
+/**
+ * Like {@link brokenAtThree}, and all three targets leave the list: they
+ * crashed.
+ */
 function crashedThree() {
   const parts = brokenAtThree();
   for (const id of TARGETS) parts.directory.remove(id, 0);
   return parts;
 }
 
-// An item is late by a minute although nothing is wrong with it: three targets
-// crashed for other reasons while it ran on them. One run more shows that, once it
-// is known that the three don't live.
-test('an item is run once more when the crashes are known', t => {
-  const {suspects, follow} = crashedThree();
+// A harmless item is delayed by a minute: three targets crashed for other
+// reasons while it ran on them. One more run shows that it is harmless, once
+// the three targets are known to have crashed.
+test('a blocked item gets one more run once the crashes are known', t => {
+  const {suspects, advanceWithReads} = crashedThree();
   t.true(suspects.isItemBlocked('p'));
-  follow(KNOWN_LATER_MS);
+  advanceWithReads(EXPIRY_KNOWN_MS);
   t.false(suspects.isItemBlocked('p'));
   suspects.startsItem('p');
-  t.true(suspects.isItemBlocked('p'), 'a second run beside the first');
+  t.true(
+    suspects.isItemBlocked('p'),
+    'no second additional run beside the first',
+  );
   suspects.answered('p');
   t.false(suspects.isItemBlocked('p'));
 });
 
-// Server after server falls to an item whose owner tries it again and again: the
-// one run more took a fourth, and that must be the last of them.
-test('an item that crashes its one further target stays blocked', t => {
-  const {suspects, follow} = crashedThree();
-  follow(KNOWN_LATER_MS);
+// A poison item is retried by its owner again and again. If its additional run
+// crashes a fourth target, it must stay blocked.
+test('an item that crashes a fourth target stays blocked', t => {
+  const {suspects, advanceWithReads} = crashedThree();
+  advanceWithReads(EXPIRY_KNOWN_MS);
   suspects.startsItem('p');
   suspects.broke('p', 'i-4');
-  follow(2 * KNOWN_LATER_MS);
+  advanceWithReads(2 * EXPIRY_KNOWN_MS);
   t.true(suspects.isItemBlocked('p'));
 });
 
-// An online request that crashes targets comes again from its caller at any host:
-// each host's one run more would be a target more.
-test('online requests get no further run', t => {
-  const {suspects, follow} = crashedThree();
-  follow(KNOWN_LATER_MS);
+// A poison online request is retried by its caller at any host. One more run at
+// each host would cost one more target for each host.
+test('online requests get no additional run', t => {
+  const {suspects, advanceWithReads} = crashedThree();
+  advanceWithReads(EXPIRY_KNOWN_MS);
   t.false(suspects.isItemBlocked('p'));
   t.true(suspects.isBlocked('p'));
 });
--- a/packages/gateway/src/test/process/load_telling_test.ts
+++ b/packages/gateway/src/test/process/load_telling_test.ts
@@ -19,7 +19,7 @@
   }));
 }
 
-/** A host of data centre `a`, and a time that a test sets. */
+/** Creates a host of data centre `a` with a clock that the test controls. */
 function newHost() {
   let now = 0;
   const table = new LoadTable(() => now);
@@ -38,18 +38,18 @@
   return {table, telling, sums};
 }
 
-function said(rest: Partial<LoadMessage>): LoadMessage {
+function reportOf(rest: Partial<LoadMessage>): LoadMessage {
   const plain = {host: 'x', dataCentre: 'b', sequence: 1, sumOf: 0, load: LOAD};
   return {...plain, ...rest};
 }
 
 const MANY = DATA_CENTRES.flatMap(name => hostsOf(name, HOSTS));
 
-test('a large fleet tells each other data centre one sum at a time', t => {
+test('in a large fleet one host of each other data centre gets a sum per round', t => {
   const {telling, sums} = newHost();
   telling.due(MANY);
   for (const {id: host, dataCentre} of hostsOf('a', 3))
-    telling.hear(said({host, dataCentre}));
+    telling.hear(reportOf({host, dataCentre}));
   const told = sums(MANY, 2000);
   t.true(told.length > 0);
   for (const {message, peers} of told) {
@@ -59,17 +59,18 @@
   t.is(told[0]!.message.load.get('t')?.online, 6);
 });
 
-// Targets look free to a whole data centre for some seconds: the one host that told
-// it the loads of another has been lost. The next turn is another's.
-test('each host of a data centre is told in its turn', t => {
+// Targets look free to a whole data centre for seconds: the one host that
+// reported the loads of another data centre to it has failed. The next round
+// goes to another host.
+test('sums go to the hosts of a data centre in turn', t => {
   const {sums} = newHost();
-  // Two turns for each, as timers are a period late at the most.
+  // Two rounds for each host, because timers are up to one period late.
   const told = sums(MANY, 2 * HOSTS * DEFAULT_LOAD_TELLING.relayMs);
   const receivers = told.flatMap(({peers}) => peers.map(({id}) => id));
   t.true(new Set(receivers).size === 2 * HOSTS, `${new Set(receivers).size}`);
 });
 
-test('a small fleet tells its loads to each', t => {
+test('in a small fleet loads are reported to each host directly', t => {
   const {sums} = newHost();
   t.deepEqual(
     sums(
@@ -80,29 +81,29 @@
   );
 });
 
-// Targets look twice as busy as they are: while hosts come and go one tells its load
-// to all, and another has it in the sum that it tells.
-test('a load counts once, whether it comes by itself or in a sum', t => {
+// Targets look twice as busy as they are: while hosts join and leave, one host
+// reports its load to all, and another includes it in the sum that it reports.
+test('a load reported individually and in a sum counts once', t => {
   const large = newHost();
   large.telling.due(MANY);
-  large.telling.hear(said({host: 'b-1', sumOf: 3}));
-  large.telling.hear(said({host: 'b-2'}));
+  large.telling.hear(reportOf({host: 'b-1', sumOf: 3}));
+  large.telling.hear(reportOf({host: 'b-2'}));
   t.deepEqual(large.table.at('t'), {online: 2, batch: 1});
   const small = newHost();
   small.telling.due(hostsOf('b', 2));
-  small.telling.hear(said({host: 'b-2'}));
-  small.telling.hear(said({host: 'b-1', sumOf: 3}));
+  small.telling.hear(reportOf({host: 'b-2'}));
+  small.telling.hear(reportOf({host: 'b-1', sumOf: 3}));
   t.deepEqual(small.table.at('t'), {online: 2, batch: 1});
 });
 
-// A burst goes to targets that are full: a host that has just started, and knows one
-// neighbour, has told the load of its data centre.
-test('a sum over a few hosts does not replace one over many', t => {
+// A burst goes to full targets: a host that has just started and knows one
+// neighbour reports the load of its data centre.
+test('a sum over few hosts does not replace one over many', t => {
   const {table, telling} = newHost();
   telling.due(MANY);
-  telling.hear(said({host: 'b-1', sumOf: 20}));
-  telling.hear(said({host: 'b-2', sumOf: 2, load: new Map()}));
+  telling.hear(reportOf({host: 'b-1', sumOf: 20}));
+  telling.hear(reportOf({host: 'b-2', sumOf: 2, load: new Map()}));
   t.deepEqual(table.at('t'), {online: 2, batch: 1});
-  telling.hear(said({host: 'b-3', sumOf: 19, load: new Map()}));
+  telling.hear(reportOf({host: 'b-3', sumOf: 19, load: new Map()}));
   t.deepEqual(table.at('t'), {online: 0, batch: 0});
 });
--- a/packages/gateway/src/test/process/membership_test.ts
+++ b/packages/gateway/src/test/process/membership_test.ts
@@ -15,7 +15,7 @@
   return {id, host, dataCentre: 'a', ip: '', loadPort: 1, controlAddress: ''};
 }
 
-function beat(from: Member): VersionedRow {
+function heartbeat(from: Member): VersionedRow {
   return {
     table: MEMBER_TABLE,
     partition: '',
@@ -33,17 +33,19 @@
   });
 }
 
-/** @returns Tells the members what the store says at a time, in seconds. */
+/**
+ * @returns Function that applies heartbeats read at a store time, in seconds.
+ */
 function feed(members: Membership) {
   return (seconds: number, ...from: readonly Member[]) =>
     members.update({
-      put: from.map(beat),
+      put: from.map(heartbeat),
       removed: [],
       storeTimeMs: seconds * 1000,
     });
 }
 
-test('a host that stops beating loses its lease, others keep theirs', t => {
+test('a host without heartbeats loses its lease and others keep theirs', t => {
   const members = newMembership();
   const tell = feed(members);
   const silent = member('silent', '1');
@@ -58,10 +60,10 @@
   );
 });
 
-// After an outage of the store all hosts take each other for dead and run each
-// other's items: nobody could beat while the store was away. Leases are
-// prolonged by the time in which the store gave no answers.
-test('nobody is declared dead for the time of an outage', t => {
+// After an outage of the store all hosts consider each other dead and run each
+// other's items, because nobody could send heartbeats. Leases are extended by
+// the time without responses from the store.
+test('no host is declared dead because of a store outage', t => {
   const members = newMembership();
   const tell = feed(members);
   const other = member('other', '1');
@@ -72,9 +74,9 @@
   t.false(members.holdsLease(other.id));
 });
 
-// The items of a host that was restarted wait until its lease ends, although it
-// is known at once that the process before is gone: its host runs another.
-test('a process whose host runs another one is known to be gone', t => {
+// The items of a restarted host wait until its lease ends, although the new
+// incarnation of its process proves at once that the previous one has ended.
+test('a process is known to have ended once its host runs another one', t => {
   const members = newMembership();
   const tell = feed(members);
   const before = member('other', '1');
@@ -86,10 +88,10 @@
   t.false(members.isReplaced(memberId('unknown', '1')));
 });
 
-// All jobs of a live host are taken from it and run twice: a heartbeat of the
-// process before is carried out by the store seconds after that process has
-// ended, and covers the row of the one that runs now. It must not count.
-test('a heartbeat that arrives late does not replace the run that followed', t => {
+// All jobs of a live host are taken over and run twice: the store applies a
+// heartbeat of the previous process seconds after that process has ended, and
+// overwrites the row of the running one. Such a heartbeat must be ignored.
+test('a late heartbeat does not replace the next process incarnation', t => {
   const members = newMembership();
   const tell = feed(members);
   const before = member('other', '1');
--- a/packages/gateway/src/test/process/placement_test.ts
+++ b/packages/gateway/src/test/process/placement_test.ts
@@ -17,9 +17,11 @@
 const DEMAND = {goalMs: 300, priority: 0, returning: false};
 const NONE: ReadonlySet<string> = new Set();
 const TARGETS = ['t1', 't2'] as const;
-const LEADER = {id: 'leader', dataCentre: 'a'};
+const COORDINATOR = {id: 'leader', dataCentre: 'a'};
 
-/** A host, its view of two targets, and what it sends. */
+/**
+ * Creates a host with its own view of two targets, and records what it sends.
+ */
 function newHost(id: string, clock: FakeClock) {
   const log = NO_EVENT_LOG;
   const random = seededRandom(1);
@@ -55,72 +57,73 @@
       loads,
       now: () => clock.now(),
     }),
-    coordinator: () => (id === LEADER.id ? undefined : LEADER),
+    coordinator: () => (id === COORDINATOR.id ? undefined : COORDINATOR),
     coordinatorOf: () => undefined,
     peer: peer => ({id: peer, dataCentre}),
     send: (message, to) => sent.push([message, to.id]),
     onYield: (targetId, items) => yielded.push([targetId, items]),
   });
   const fill = (from: string, target: string, online: number, batch: number) =>
-    loads.hear(from, new Map([[targetKey(target), {online, batch}]]));
+    loads.applyReport(from, new Map([[targetKey(target), {online, batch}]]));
   return {placement, directory, suspensions, loads, sent, yielded, fill};
 }
 
 function newPair() {
   const clock = new FakeClock();
-  const asker = newHost('asker', clock);
-  const leader = newHost(LEADER.id, clock);
-  for (const host of [asker, leader]) {
+  const requester = newHost('asker', clock);
+  const coordinator = newHost(COORDINATOR.id, clock);
+  for (const host of [requester, coordinator]) {
     host.fill('x', 't1', 5, 0);
     host.fill('y', 't2', 6, 0);
   }
-  return {clock, asker, leader};
+  return {clock, requester, coordinator};
 }
 
-// All hosts of a data centre send to the one target that looked free: the coordinator
-// must count what it placed before anybody tells it.
-test('what the coordinator placed counts for the next', async t => {
-  const {asker, leader} = newPair();
+// All hosts of a data centre send to the one target that looked free: the
+// coordinator must count its placements before anybody reports them.
+test('placements of the coordinator count for the next request', async t => {
+  const {requester, coordinator} = newPair();
   const places: Array<string | undefined> = [];
   for (let i = 0; i < 4; i++) {
-    const place = asker.placement.forRequest('s', DEMAND, NONE);
-    leader.placement.hear(asker.sent.at(-1)![0]);
-    const [grant, to] = leader.sent.at(-1)!;
+    const place = requester.placement.forRequest('s', DEMAND, NONE);
+    coordinator.placement.hear(requester.sent.at(-1)![0]);
+    const [grant, to] = coordinator.sent.at(-1)!;
     t.is(to, 'asker');
-    asker.placement.hear(grant);
+    requester.placement.hear(grant);
     places.push((await place)?.id);
   }
   t.deepEqual([...places].sort(), ['t1', 't1', 't2', 't2']);
 });
 
-test('nobody is asked while near targets have slots to spare', async t => {
-  const {asker} = newPair();
-  asker.fill('x', 't1', 1, 0);
-  t.is((await asker.placement.forRequest('s', DEMAND, NONE))?.id, 't1');
-  t.deepEqual(asker.sent, []);
+test('the coordinator is not asked while local targets have free slots', async t => {
+  const {requester} = newPair();
+  requester.fill('x', 't1', 1, 0);
+  t.is((await requester.placement.forRequest('s', DEMAND, NONE))?.id, 't1');
+  t.deepEqual(requester.sent, []);
 });
 
-// A target that is leaving gets a request: the coordinator has read the list of
-// targets a moment before the host that asks it.
-test('a place at a target that is leaving is not taken', async t => {
-  const {asker, leader} = newPair();
-  asker.directory.put(targetOf('t1', {leaving: true}));
-  const place = asker.placement.forRequest('s', DEMAND, NONE);
-  leader.placement.hear(asker.sent.at(-1)![0]);
-  const [grant] = leader.sent.at(-1)!;
+// A draining target gets a request: the coordinator has read the target list
+// earlier than the host that asks it.
+test('a placement at a draining target is not used', async t => {
+  const {requester, coordinator} = newPair();
+  requester.directory.put(targetOf('t1', {leaving: true}));
+  const place = requester.placement.forRequest('s', DEMAND, NONE);
+  coordinator.placement.hear(requester.sent.at(-1)![0]);
+  const [grant] = coordinator.sent.at(-1)!;
   t.deepEqual(grant, {kind: 'grant', askId: 1, targetId: 't1'});
-  asker.placement.hear(grant);
+  requester.placement.hear(grant);
   t.is((await place)?.id, 't2');
 });
 
-// Requests of one host go again and again to a target that has crashed: it refuses
-// connections, and for the coordinator, which has not tried it, it has the least load.
-test('a target that failed the host that asks is out of the question', async t => {
-  const {asker, leader} = newPair();
-  asker.suspensions.failed('t1', 'ECONNREFUSED');
-  const place = asker.placement.forRequest('s', DEMAND, NONE);
-  leader.placement.hear(asker.sent.at(-1)![0]);
-  asker.placement.hear(leader.sent.at(-1)![0]);
+// Requests of one host go again and again to a crashed target: it refuses
+// connections, and has the lowest load for the coordinator, which has not tried
+// it.
+test('a target that failed the requesting host is not selected', async t => {
+  const {requester, coordinator} = newPair();
+  requester.suspensions.failed('t1', 'ECONNREFUSED');
+  const place = requester.placement.forRequest('s', DEMAND, NONE);
+  coordinator.placement.hear(requester.sent.at(-1)![0]);
+  requester.placement.hear(coordinator.sent.at(-1)![0]);
   t.is((await place)?.id, 't2');
 });
 
@@ -129,62 +132,64 @@
   return {kind: 'ask', host, askId: 1, service: 's', wish, excluded};
 }
 
-// Fifteen hosts find out one after another that a target has crashed, in a burst:
-// what two of them say must do for the others, and no longer than it is true.
-test('a target that failed two hosts is avoided for all', t => {
-  const {leader, clock} = newPair();
+// In a burst, fifteen hosts find out one after another that a target has
+// crashed. Reports of two of them must be enough for the others, and must
+// expire.
+test('a target that failed two hosts is avoided for all hosts', t => {
+  const {coordinator, clock} = newPair();
   const placedFor = (host: string, excluded: readonly string[]) => {
-    leader.placement.hear(askOf(host, excluded));
-    const [grant] = leader.sent.at(-1)!;
+    coordinator.placement.hear(askOf(host, excluded));
+    const [grant] = coordinator.sent.at(-1)!;
     return grant.kind === 'grant' ? grant.targetId : undefined;
   };
   t.is(placedFor('h1', ['t1']), 't2');
-  t.is(placedFor('h2', []), 't1', 'one host may be cut off from it');
+  t.is(placedFor('h2', []), 't1', 'a single host may be partitioned from it');
   t.is(placedFor('h2', ['t1']), 't2');
-  leader.fill('y', 't2', 6, 0);
-  leader.fill('x', 't1', 0, 0);
+  coordinator.fill('y', 't2', 6, 0);
+  coordinator.fill('x', 't1', 0, 0);
   t.is(placedFor('h3', []), 't2');
-  leader.fill('y', 't2', 30, 0);
-  t.is(placedFor('h3', []), 't1', 'no other has room');
-  leader.fill('y', 't2', 6, 0);
+  coordinator.fill('y', 't2', 30, 0);
+  t.is(placedFor('h3', []), 't1', 'no other target has free slots');
+  coordinator.fill('y', 't2', 6, 0);
   clock.pass(1000);
   t.is(placedFor('h3', []), 't1');
 });
 
-// The coordinator is lost, and every request of its data centre would wait for it.
-test('a silent coordinator costs little, and is left alone', async t => {
-  const {asker, clock} = newPair();
+// Every request of a data centre waits for its failed coordinator.
+test('an unresponsive coordinator delays few requests and is not asked for a while', async t => {
+  const {requester, clock} = newPair();
   for (let i = 0; i < 5; i++) {
-    const place = asker.placement.forRequest('s', DEMAND, NONE);
+    const place = requester.placement.forRequest('s', DEMAND, NONE);
     clock.pass(30);
     t.is((await place)?.id, 't1');
   }
-  t.is(asker.sent.length, 3);
+  t.is(requester.sent.length, 3);
   clock.pass(2000);
-  asker.fill('x', 't1', 5, 0);
-  asker.fill('y', 't2', 6, 0);
-  const place = asker.placement.forRequest('s', DEMAND, NONE);
-  t.is(asker.sent.length, 4);
+  requester.fill('x', 't1', 5, 0);
+  requester.fill('y', 't2', 6, 0);
+  const place = requester.placement.forRequest('s', DEMAND, NONE);
+  t.is(requester.sent.length, 4);
   clock.pass(30);
   await place;
 });
 
-// An online request waits behind an item of another host until that host hears of
-// it: the one that placed the request tells it at once, and once only.
-test('items in the way of a request are ended by their host', async t => {
-  const {asker, leader} = newPair();
-  for (const host of [asker, leader]) {
+// An online request waits behind an item of another host until that host learns
+// of it. The coordinator that placed the request must tell it at once, and only
+// once.
+test('items that occupy the slot of a request are preempted by their host', async t => {
+  const {requester, coordinator} = newPair();
+  for (const host of [requester, coordinator]) {
     host.fill('x', 't1', 5, 3);
     host.fill('y', 't2', 9, 0);
   }
   for (let i = 0; i < 2; i++) {
-    const place = asker.placement.forRequest('s', DEMAND, NONE);
-    leader.placement.hear(asker.sent.at(-1)![0]);
-    const grants = leader.sent.filter(([{kind}]) => kind === 'grant');
-    asker.placement.hear(grants.at(-1)![0]);
+    const place = requester.placement.forRequest('s', DEMAND, NONE);
+    coordinator.placement.hear(requester.sent.at(-1)![0]);
+    const grants = coordinator.sent.filter(([{kind}]) => kind === 'grant');
+    requester.placement.hear(grants.at(-1)![0]);
     await place;
   }
-  const yields = leader.sent.filter(([{kind}]) => kind === 'yield');
+  const yields = coordinator.sent.filter(([{kind}]) => kind === 'yield');
   t.deepEqual(yields, [
     [{kind: 'yield', targetId: 't1', items: 1}, 'x'],
     [{kind: 'yield', targetId: 't1', items: 1}, 'x'],
@@ -194,19 +199,19 @@
   t.deepEqual(holder.yielded, [['t1', 1]]);
 });
 
-// A target looks full for ever, or twice as full: what was placed there is told by
-// who sent it, or was never sent.
-test('what was placed counts until it is told, and once', t => {
+// A target looks full forever or twice as full as it is: a placed request is
+// reported by the host that sent it, or was never sent.
+test('a placement counts once and until it is reported', t => {
   let now = 0;
   const loads = new LoadTable(() => now);
-  loads.cause('x', 't', 'online', 1);
+  loads.addPendingChange('x', 't', 'online', 1);
   t.is(loads.at('t').online, 1);
-  loads.hear('x', new Map());
-  t.is(loads.at('t').online, 1, 'told too soon to tell of it');
+  loads.applyReport('x', new Map());
+  t.is(loads.at('t').online, 1, 'the report is too early to include it');
   now = 60;
-  loads.hear('x', new Map([['t', {online: 1, batch: 0}]]));
+  loads.applyReport('x', new Map([['t', {online: 1, batch: 0}]]));
   t.is(loads.at('t').online, 1);
-  loads.cause('gone', 't', 'online', 1);
+  loads.addPendingChange('gone', 't', 'online', 1);
   now = 1000;
   loads.expire();
   t.is(loads.at('t').online, 1);
