--- a/packages/gateway/src/test/process/target_chooser_test.ts
+++ b/packages/gateway/src/test/process/target_chooser_test.ts
@@ -19,7 +19,7 @@
   return targetOf(id, {dataCentre, leaving});
 }
 
-function fleet(...targets: readonly Target[]) {
+function newFleet(...targets: readonly Target[]) {
   const context = {clock: SYSTEM_CLOCK, log: NO_EVENT_LOG};
   const directory = new TargetDirectory(context);
   for (const one of targets) directory.put(one);
@@ -40,21 +40,25 @@
     random,
   });
   const load = (id: string, online: number, batch: number) =>
-    loads.hear(`host of ${id}`, new Map([[targetKey(id), {online, batch}]]));
+    loads.applyReport(
+      `host of ${id}`,
+      new Map([[targetKey(id), {online, batch}]]),
+    );
   return {chooser, directory, loads, suspensions, load};
 }
 
-test('a near target is chosen until it is clearly busier', t => {
-  const {chooser, load} = fleet(target('near'), target('far', 'b'));
+test('a local target is selected until it is clearly busier', t => {
+  const {chooser, load} = newFleet(target('near'), target('far', 'b'));
   t.is(chooser.forRequest('s', URGENT, NONE)?.id, 'near');
   load('near', 3, 0);
   t.is(chooser.forRequest('s', URGENT, NONE)?.id, 'far');
 });
 
-// All requests are refused although targets are well: the way to them had failed
-// for a moment, and all are suspended. The suspended ones must then be tried.
-test('suspended targets get nothing while others are open', t => {
-  const {chooser, suspensions} = fleet(
+// All requests are refused although the targets are healthy: the network path
+// to them failed for a moment, and all are suspended. Suspended targets must
+// then be tried.
+test('suspended targets get no requests while others are available', t => {
+  const {chooser, suspensions} = newFleet(
     target('leaving', 'a', true),
     target('tried'),
     target('well'),
@@ -70,54 +74,59 @@
   );
 });
 
-test('batch items leave room that online requests still take', t => {
-  const {chooser, load} = fleet(target('only'));
+test('batch items leave slots free for online requests', t => {
+  const {chooser, load} = newFleet(target('only'));
   load('only', 2, 5);
   t.is(chooser.forItem('s', 'relaxed'), undefined);
   t.is(chooser.forItem('s', 'pressed')?.id, 'only');
   t.is(chooser.forRequest('s', URGENT, NONE)?.id, 'only');
 });
 
-/** What each of three hosts ends at a target with two items of each of them
- * and four online requests: ten in flight, of which eight may stay. */
-function yieldsAt(id: string): readonly number[] {
+/**
+ * Number of items that each of three hosts preempts at a target with two items
+ * of each host and four online requests: ten are in flight, of which eight may
+ * stay.
+ */
+function preemptionsAt(id: string): readonly number[] {
   const hosts = ['h1', 'h2', 'h3'];
   const key = targetKey(id);
   const batch = 2;
   return hosts.map(self => {
-    const {chooser, loads} = fleet(target(id));
+    const {chooser, loads} = newFleet(target(id));
     for (let i = 0; i < batch; i++) loads.begin(key, 'batch');
     if (self === 'h3') for (let i = 0; i < 4; i++) loads.begin(key, 'online');
     for (const host of hosts) {
       if (host === self) continue;
       const load = {online: host === 'h3' ? 4 : 0, batch};
-      loads.hear(host, new Map([[key, load]]));
+      loads.applyReport(host, new Map([[key, load]]));
     }
     return chooser.itemsToYield(target(id), self);
   });
 }
 
-// Online requests wait in a burst although items give way: every host ends all
-// its items, or none does since each leaves it to the others. With the same
-// loads all hosts must come to one division that frees just what is needed.
-test('hosts end together as many items as are too many', t => {
+// In a burst, online requests wait although items are preempted, because every
+// host preempts all its items, or none does and each relies on the others. With
+// the same loads all hosts must derive the same division, which frees exactly
+// the excess.
+test('hosts together preempt exactly the excess of items', t => {
   for (const id of ['one', 'two', 'three', 'four'])
-    t.deepEqual([...yieldsAt(id)].sort(), [0, 0, 2], id);
+    t.deepEqual([...preemptionsAt(id)].sort(), [0, 0, 2], id);
 });
 
-// Jobs that were handed in at one data centre are never done in time, and those
-// of another always: in each burst the same host gave way first at all targets.
-test('hosts give way first at different targets', t => {
+// Jobs submitted in one data centre are never completed in time and those of
+// another always are, because the items of the same host are preempted first at
+// all targets.
+test('the host whose items are preempted first differs by target', t => {
   const ids = [...Array(30).keys()].map(i => `target ${i}`);
-  const first = ids.map(id => yieldsAt(id).indexOf(2));
+  const first = ids.map(id => preemptionsAt(id).indexOf(2));
   for (const host of [0, 1, 2])
     t.true(first.filter(one => one === host).length >= 5, `${first}`);
 });
 
-// Much time of targets goes into texts that are never finished in time: in each
-// burst a host ended items that were nearly done, while items of another that
-// had just begun went on.
-test('what is nearly done gives way last, on all hosts', t => {
+// Target time is wasted on items that are never completed in time: in each
+// burst, nearly completed items of one host are preempted while items of
+// another that have just begun continue.
+test('nearly completed items of all hosts are preempted last', t => {
   const key = targetKey('only');
   const loadOf = (host: string) => ({
     online: 0,
@@ -125,21 +134,22 @@
     nearlyDone: host === 'h1' ? 5 : 2,
   });
   const hosts = ['h1', 'h2'];
-  const yields = hosts.map(self => {
-    const {chooser, loads} = fleet(target('only'));
+  const preemptions = hosts.map(self => {
+    const {chooser, loads} = newFleet(target('only'));
     for (let i = 0; i < 5; i++) loads.begin(key, 'batch');
     loads.markNearlyDone(key, loadOf(self).nearlyDone);
     for (const host of hosts)
-      if (host !== self) loads.hear(host, new Map([[key, loadOf(host)]]));
+      if (host !== self)
+        loads.applyReport(host, new Map([[key, loadOf(host)]]));
     return chooser.itemsToYield(target('only'), self);
   });
-  t.deepEqual(yields, [0, 2]);
+  t.deepEqual(preemptions, [0, 2]);
 });
 
-// An item that was nearly done has ended since the host counted them; it must
-// not end more items than it has.
-test('a count that is older than the load counts for no more than there is', t => {
-  const {chooser, loads, load} = fleet(target('only'));
+// A nearly completed item has ended since the host counted such items. The host
+// must not preempt more items than it has.
+test('an outdated count of nearly completed items is capped at the load', t => {
+  const {chooser, loads, load} = newFleet(target('only'));
   const key = targetKey('only');
   const items = [1, 2].map(() => loads.begin(key, 'batch'));
   loads.markNearlyDone(key, 2);
@@ -148,8 +158,8 @@
   t.is(chooser.itemsToYield(target('only'), 'h'), 1);
 });
 
-test('what is less urgent finds a target full first', t => {
-  const {chooser, load} = fleet(target('only'));
+test('a target is full for less urgent requests first', t => {
+  const {chooser, load} = newFleet(target('only'));
   load('only', 10, 0);
   t.is(chooser.forRequest('s', URGENT, NONE)?.id, 'only');
   t.is(chooser.forRequest('s', LESS_URGENT, NONE), undefined);
--- a/packages/gateway/src/test/process/target_directory_test.ts
+++ b/packages/gateway/src/test/process/target_directory_test.ts
@@ -10,17 +10,17 @@
   return new TargetDirectory({clock: SYSTEM_CLOCK, log: NO_EVENT_LOG});
 }
 
-test('a target that is removed gets nothing from then on', t => {
+test('a removed target gets no more requests', t => {
   const targets = directory();
   targets.put(TARGET);
   targets.remove('t', 0);
   t.deepEqual(targets.ofService('s'), []);
 });
 
-// All requests fail after an outage of the store: targets could not renew their
-// entries, which have lapsed, and are taken for gone although they live. Their
-// entries are back within two seconds.
-test('a target whose entry lapsed in an outage is kept until it is back', async t => {
+// All requests fail after an outage of the store: live targets could not renew
+// their entries, which have expired, and are considered gone. Their entries are
+// back within two seconds.
+test('a target whose entry expired in an outage is kept until it is back', async t => {
   const targets = directory();
   targets.put(TARGET);
   targets.remove('t', 30);
@@ -34,9 +34,10 @@
   t.is(targets.ofService('s').length, 0);
 });
 
-// Requests are sent with what was learnt of a server that is no more: it crashed
-// and is back under the id it had, at another address, and holds nothing.
-test('a server that starts again is another target', t => {
+// Requests are sent based on the state of a server that no longer exists: it
+// crashed and came back under the same ID at another address, with no state
+// left.
+test('a restarted server is another target', t => {
   const targets = directory();
   const gone: string[] = [];
   targets.onGone(id => gone.push(id));
@@ -48,10 +49,10 @@
   t.deepEqual(targets.ofService('s'), [now]);
 });
 
-// A live server gets nothing, or is sent to where it was before: what the run
-// before wrote last is carried out by the store seconds late, after the entry of
-// the run that is alive.
-test('an older entry that arrives late changes nothing', t => {
+// A live server gets no requests, or requests are sent to its former address:
+// the store applies the last write of the previous incarnation seconds late,
+// after the entry of the live one.
+test('a late entry of an earlier incarnation is ignored', t => {
   const targets = directory();
   const now = runOf('i-1', 2000);
   targets.put(now);
@@ -64,9 +65,10 @@
   t.deepEqual(targets.ofService('s'), [now]);
 });
 
-// A server crashes while the store is away and is back under its id when its
-// entry has lapsed and is kept for a while: the run before is dropped at once.
-test('a server that is back while its lapsed entry is kept is the new run', async t => {
+// A server crashes while the store is unavailable and is back under its ID
+// while its expired entry is still retained. The previous incarnation is
+// removed at once.
+test('a server that restarts while its expired entry is kept is a new target', async t => {
   const targets = directory();
   targets.put(runOf('i-1', 1000));
   targets.remove('i-1', 30);
@@ -76,9 +78,9 @@
   t.deepEqual(targets.ofService('s'), [now]);
 });
 
-// A request of one service is sent to another: a server is back under its id and
-// serves something else now.
-test('a server that is back with another service leaves the first', t => {
+// A request of one service is sent to another: a server comes back under its ID
+// and provides another service.
+test('a server that restarts with another service leaves the first one', t => {
   const targets = directory();
   targets.put(runOf('i-1', 1000));
   targets.put(runOf('i-1', 2000, {service: 'other'}));
--- a/packages/gateway/src/test/process/wide_burst_replay_test.ts
+++ b/packages/gateway/src/test/process/wide_burst_replay_test.ts
@@ -6,8 +6,10 @@
   type WideOptions,
 } from '../fakes/wide_fleet.js';
 
-/** Six data centres; a burst that takes nine of ten slots, after a calm in which
- * items of batch jobs have filled them. */
+/**
+ * Six data centres. The burst takes nine of ten slots, after a period of low
+ * load in which batch items have filled them.
+ */
 const BURST: WideLoad = {
   seed: 1,
   dataCentres: 6,
@@ -26,47 +28,61 @@
   burstAtMs: 2500,
   lengthMs: 5000,
 };
-/** Each host tells each other one its own load, as often as the bound allows. */
-const TO_EACH: WideOptions = {
+/**
+ * Each host reports its own load to every other host, as often as the datagram
+ * limit allows.
+ */
+const DIRECT: WideOptions = {
   ...DEFAULT_LOAD_TELLING,
   directFarMs: Infinity,
   coordinated: false,
 };
-/** Data centres tell each other sums; each host chooses by its own view. */
-const IN_SUMS: WideOptions = {...DEFAULT_LOAD_TELLING, coordinated: false};
+/**
+ * Data centres report sums to each other; each host selects targets by its own
+ * view.
+ */
+const SUMS: WideOptions = {...DEFAULT_LOAD_TELLING, coordinated: false};
 const COORDINATED: WideOptions = {...DEFAULT_LOAD_TELLING, coordinated: true};
 
-/** What a request on time is worth; on its return, and late. */
-const ON_RETURN = 0.57;
-const LATE = 0.15;
-/** What counts as a gain: beyond what seeds differ by. */
-const LEAST_GAIN = 0.2;
+/**
+ * Value of a request that is answered in time on a retry, and of one that is
+ * late, relative to one that is in time on its first attempt.
+ */
+const RETRY_VALUE = 0.57;
+const LATE_VALUE = 0.15;
+/**
+ * Minimum gain that counts as an improvement; it exceeds the variation between
+ * seeds.
+ */
+const MIN_GAIN = 0.2;
 
 async function play(load: WideLoad, options: WideOptions) {
   const outcome = await new WideFleet(load, options).play();
   const {requests, inTime, inTimeOnReturn, late} = outcome;
-  const worth = (inTime + ON_RETURN * inTimeOnReturn + LATE * late) / requests;
+  const worth =
+    (inTime + RETRY_VALUE * inTimeOnReturn + LATE_VALUE * late) / requests;
   return {...outcome, worth};
 }
 
-// Callers of a large fleet get their first word late in each burst although there
-// are slots for nine of ten of them: hosts know the loads of other data centres as
-// they were before it, send there what does not fit at home, and items of batch jobs
-// hold the slots of targets that other hosts have filled meanwhile. Told in sums, the
-// loads are of the same burst; then the hosts of one data centre still choose the
-// same target that was free a tenth of a second ago, until one of them places all.
-test('a burst is spread by loads of the same burst, and by one who knows', async t => {
-  const toEach = await play(BURST, TO_EACH);
-  const inSums = await play(BURST, IN_SUMS);
+// Callers of a large fleet get their first byte late in each burst although
+// there are slots for nine of ten of them. Hosts know the loads of other data
+// centres as they were before the burst and send their excess there, and batch
+// items occupy slots of targets that other hosts have filled in the meantime.
+// With sums, the loads are those of the same burst, but the hosts of one data
+// centre still select the same target that was free a tenth of a second ago,
+// until a coordinator places all requests.
+test('sums and coordinators improve the spread of a burst', async t => {
+  const direct = await play(BURST, DIRECT);
+  const inSums = await play(BURST, SUMS);
   const coordinated = await play(BURST, COORDINATED);
-  for (const outcome of [toEach, inSums, coordinated])
+  for (const outcome of [direct, inSums, coordinated])
     t.log(JSON.stringify(outcome));
-  t.true(inSums.worth > toEach.worth + LEAST_GAIN);
-  t.true(inSums.messages < toEach.messages);
+  t.true(inSums.worth > direct.worth + MIN_GAIN);
+  t.true(inSums.messages < direct.messages);
   t.true(coordinated.late < inSums.late / 2);
 });
 
-/** A fleet of four data centres, to the first of which twice as many callers come. */
+/** Four data centres, the first of which gets twice as many callers. */
 const CROWDED: WideLoad = {
   ...BURST,
   dataCentres: 4,
@@ -86,20 +102,21 @@
   return late;
 }
 
-// Callers of a data centre with more requests than slots are late although others have
-// room: each data centre sends there what does not fit at home, and knows what the rest
-// sent as of a fifth of a second ago.
-test('data centres that help out do not fill the same targets', async t => {
+// Callers of a data centre with more requests than slots are late although
+// other data centres have free slots: each data centre sends its excess there,
+// and knows what the others have sent only as of a fifth of a second ago.
+test('data centres that ask each other do not fill the same remote targets', async t => {
   const alone = await lateInThreeSeeds(COORDINATED);
   const asked = await lateInThreeSeeds({...COORDINATED, asksOthers: true});
-  t.log(`${alone} late, and ${asked}`);
+  t.log(`late requests: ${alone} without asking, ${asked} with asking`);
   t.true(asked < alone / 2);
 });
 
-// The coordinator of each data centre is lost for good in the burst: hosts ask it,
-// get no answer, and have to go on by their own view at once.
-test('a burst goes on when the coordinators are lost', async t => {
-  const inSums = await play(BURST, IN_SUMS);
+// The coordinator of each data centre fails for good during the burst. Hosts
+// get no answer to their placement requests and must continue with their own
+// view at once.
+test('a burst is served when the coordinators fail', async t => {
+  const inSums = await play(BURST, SUMS);
   const lost = await play(BURST, {...COORDINATED, coordinatorsLostAtMs: 3500});
   t.log(JSON.stringify(lost));
   t.true(lost.worth > inSums.worth - 0.05);
