--- a/packages/gateway/src/lib/process/account_quotas.ts
+++ b/packages/gateway/src/lib/process/account_quotas.ts
@@ -87,7 +87,7 @@
  * host owns.
  */
 export class AccountQuotas implements Disposable {
-  private readonly keeper: QuotaKeeper;
+  private readonly enforcer: QuotaKeeper;
   private readonly reserve: QuotaReserve;
   private readonly pendingAnswers = new Map<number, AnswerHandler>();
   /** Time until which a host is considered unresponsive, by host name. */
@@ -100,7 +100,7 @@
 
   /** @param context - Hosts, quotas and the transport to other hosts. */
   constructor(private readonly context: AccountQuotasContext) {
-    this.keeper = new QuotaKeeper(context.tolerance, context.clock.now());
+    this.enforcer = new QuotaKeeper(context.tolerance, context.clock.now());
     this.reserve = new QuotaReserve(context.random);
   }
 
@@ -129,7 +129,7 @@
     const {clock, self} = this.context;
     const verdict =
       owner?.host === self.host
-        ? this.keeper.take(account, quota, clock.now())
+        ? this.enforcer.take(account, quota, clock.now())
         : await this.requestOrReserve(owner, account, quota);
     this.countVerdict(verdict.kind);
     return verdict;
@@ -143,7 +143,7 @@
   giveBack(account: string): void {
     const owner = this.ownerOf(account);
     if (!owner) return;
-    if (owner.host === this.context.self.host) this.keeper.giveBack(account);
+    if (owner.host === this.context.self.host) this.enforcer.giveBack(account);
     else this.context.send({kind: 'give-back', account}, owner);
   }
 
@@ -157,7 +157,7 @@
         this.pendingAnswers.get(message.askId)?.(message);
         return;
       case 'give-back':
-        this.keeper.giveBack(message.account);
+        this.enforcer.giveBack(message.account);
     }
   }
 
@@ -241,7 +241,7 @@
     // The configuration of the two hosts differs, and this one has no limit for
     // the account.
     if (!quota) return reply('granted');
-    const verdict = this.keeper.take(account, quota, clock.now());
+    const verdict = this.enforcer.take(account, quota, clock.now());
     if (verdict.kind === 'granted') return reply('granted');
     return reply('over', verdict.waitMs);
   }
@@ -267,7 +267,7 @@
     this.hosts = hosts;
     this.owners.clear();
     const {self, clock} = this.context;
-    this.keeper.retain(
+    this.enforcer.retain(
       name => this.ownerOf(name)?.host === self.host,
       clock.now(),
     );
--- a/packages/gateway/src/lib/process/caller_admission.ts
+++ b/packages/gateway/src/lib/process/caller_admission.ts
@@ -99,7 +99,7 @@
   }
 
   /** Configuration version and age, for log lines. */
-  get view() {
+  get logFields() {
     const {freshness, routing} = this.context;
     const ageMs = freshness.ageMs;
     return {
--- a/packages/gateway/src/lib/process/front_server.ts
+++ b/packages/gateway/src/lib/process/front_server.ts
@@ -176,8 +176,8 @@
   }
 
   /**
-   * Sends the caller to another host if the configuration of this one is too
-   * old to authenticate it.
+   * Refuses a caller that was not admitted. If the configuration of this host
+   * is too old to authenticate callers, sends the caller to another host.
    */
   private refuseUnadmitted(call: Call, reason: AdmissionRefusal): void {
     if (reason !== 'stale')
@@ -247,7 +247,7 @@
       reason,
       account,
       returnAfterMs,
-      ...online.admission.view,
+      ...online.admission.logFields,
     });
     const retry =
       returnAfterMs === undefined
--- a/packages/gateway/src/lib/process/membership.ts
+++ b/packages/gateway/src/lib/process/membership.ts
@@ -238,10 +238,10 @@
    * followed by another one is therefore never accepted again.
    */
   private recordIncarnation(host: string, id: string): void {
-    const known = this.members.get(host)?.member.id;
-    if (known === id) return;
-    if (known !== undefined) this.endedIds.set(known, true);
-    this.context.log.event('member-seen', {member: id, before: known});
+    const previousId = this.members.get(host)?.member.id;
+    if (previousId === id) return;
+    if (previousId !== undefined) this.endedIds.set(previousId, true);
+    this.context.log.event('member-seen', {member: id, before: previousId});
   }
 
   private scheduleHeartbeat(): void {
--- a/packages/gateway/src/lib/process/placement.ts
+++ b/packages/gateway/src/lib/process/placement.ts
@@ -137,10 +137,10 @@
   }
 
   /**
-   * Asks the coordinator of a remote target's data centre, which knows its own
-   * placements at once. Without it, several data centres would fill the same
-   * remote targets, because each knows what the others have sent there only as
-   * of a fifth of a second ago.
+   * If the selected target is remote, asks the coordinator of its data centre,
+   * which knows its own placements at once. Without it, several data centres
+   * would fill the same remote targets, because each knows what the others have
+   * sent there only as of a fifth of a second ago.
    */
   private async placeRemotely(
     first: Target,
@@ -273,11 +273,11 @@
   }
 
   private handleRequest(ask: PlaceAsk): void {
-    const {own, peer, send} = this.context;
+    const {own: coordinator, peer, send} = this.context;
     const to = peer(ask.host);
     // A sender that is not known yet times out and uses its own view.
     if (!to) return;
-    const {target, itemsToPreempt} = own.place(ask, to.dataCentre);
+    const {target, itemsToPreempt} = coordinator.place(ask, to.dataCentre);
     send({kind: 'grant', askId: ask.askId, targetId: target?.id}, to);
     if (!target) return;
     for (const {host, items} of itemsToPreempt) {
--- a/packages/gateway/src/lib/process/service_overload.ts
+++ b/packages/gateway/src/lib/process/service_overload.ts
@@ -44,7 +44,7 @@
   }
 
   /** @returns How many requests with this demand may be queued at a target. */
-  waitingPlaces({service, slots}: Target, demand: WaitDemand): number {
+  maxQueued({service, slots}: Target, demand: WaitDemand): number {
     const pace = this.services.get(service)?.learner.pace;
     return waitingPlaces(slots, demand, pace);
   }
--- a/packages/gateway/src/lib/process/target_chooser.ts
+++ b/packages/gateway/src/lib/process/target_chooser.ts
@@ -94,7 +94,7 @@
   ): Target | undefined {
     const {overload} = this.context;
     const hasCapacity: HasCapacity = (target, {online}) =>
-      online < target.slots + overload.waitingPlaces(target, demand);
+      online < target.slots + overload.maxQueued(target, demand);
     const isAvailable = ({id}: Target) => !this.context.suspensions.has(id);
     const targets = this.context.directory
       .ofService(service)
@@ -115,9 +115,9 @@
    *     slot.
    */
   forItem(service: string, pressure: BatchPressure): Target | undefined {
-    const {directory, homes} = this.context;
+    const {directory, homes: preferred} = this.context;
     const all = directory.ofService(service);
-    const candidates = pressure === 'relaxed' ? homes.select(all) : all;
+    const candidates = pressure === 'relaxed' ? preferred.select(all) : all;
     return this.bestForItem(candidates, pressure);
   }
 
