--- a/packages/gateway/src/test/experiments/quota_ways.ts
+++ b/packages/gateway/src/test/experiments/quota_ways.ts
@@ -1,7 +1,11 @@
 /**
- * Compares three ways to keep quotas, in virtual time: equal parts that move with the
- * demand as hosts tell it, one host that counts each account, and the same with a
- * small part at each host that is used before it asks. Prints a table.
+ * Compares three strategies to enforce quotas, in virtual time. Prints a table.
+ *
+ * - parts: the quota is divided among the hosts; the shares start equal and
+ *     follow the demand that the hosts report.
+ * - counted: one quota owner counts each account.
+ * - part first: the same, but each host has a small local share that it uses
+ *     before it asks the quota owner.
  */
 import {
   CallerLimits,
@@ -12,8 +16,8 @@
 } from '@oathead/core';
 import {
   QuotaFleet,
-  type QuotaPlay,
-  type QuotaWay,
+  type QuotaScenario,
+  type QuotaStrategy,
 } from '../fakes/quota_fleet.js';
 
 const TOLERANCE: QuotaTolerance = {windowMs: 5000, overage: 0.1, slack: 20};
@@ -23,20 +27,25 @@
   large: {perSecond: 64, burst: 64},
   small: {perSecond: 3, burst: 3},
 };
-/** What each account sends, as a share of its quota: 7.5 times a usual of 0.62. */
+/**
+ * Request rate of each account as a multiple of its quota. The usual rate is
+ * 0.62; the overloaded accounts send 7.5 times as much.
+ */
 const DEMAND: Readonly<Record<string, number>> = {
   flood: 4.7,
   smallFlood: 4.7,
   large: 0.62,
   small: 0.62,
 };
-const QUIET_MS = 2500;
-const LENGTH_MS = 14_000;
-/** How often hosts tell what is asked of them, and how old that is then. */
-const TELL_MS = 1000;
+const IDLE_MS = 2500;
+const DURATION_MS = 14_000;
+/**
+ * Interval at which hosts report their demand, and thus the age of the reports.
+ */
+const REPORT_INTERVAL_MS = 1000;
 
-/** Parts by demand: the limits of the product's own front. */
-function parts(hosts: number): QuotaWay {
+/** Shares that follow the demand, enforced by `CallerLimits`. */
+function demandShares(hosts: number): QuotaStrategy {
   const limits = [...Array(hosts).keys()].map(() => new CallerLimits(hosts));
   for (const [account, {perSecond, burst}] of Object.entries(QUOTAS))
     for (const limit of limits)
@@ -54,7 +63,7 @@
     take: (host, account, at) =>
       limits[host]!.begin(account, 1, at) === undefined,
     tick: (fleet, at) => {
-      if (at % TELL_MS !== 0) return 0;
+      if (at % REPORT_INTERVAL_MS !== 0) return 0;
       const uses = limits.map(limit => limit.use(at));
       let messages = 0;
       for (const account of Object.keys(QUOTAS)) {
@@ -72,11 +81,12 @@
   };
 }
 
-/** A small part first, then the host that counts. */
-function partFirst(hosts: number): QuotaWay {
+/** A small local share first, then the quota owner. */
+function localShareFirst(hosts: number): QuotaStrategy {
   const random = seededRandom(5);
-  const own = [...Array(hosts).keys()].map(() => new QuotaReserve(random));
-  // Half of it, so that what is counted and what is not are one tolerance.
+  const reserves = [...Array(hosts).keys()].map(() => new QuotaReserve(random));
+  // Half of the tolerance for the local shares and half for the quota owner, so
+  // that together they stay within the whole tolerance.
   const tolerance = {
     ...TOLERANCE,
     overage: TOLERANCE.overage / 2,
@@ -84,7 +94,7 @@
   };
   return {
     take: (host, account, at, counted) =>
-      own[host]!.take(
+      reserves[host]!.take(
         account,
         {quota: QUOTAS[account]!, tolerance, hosts},
         at,
@@ -93,14 +103,15 @@
   };
 }
 
-const WAYS: Readonly<Record<string, (hosts: number) => QuotaWay | undefined>> =
-  {
-    parts,
-    counted: () => undefined,
-    'part first': partFirst,
-  };
+const STRATEGIES: Readonly<
+  Record<string, (hosts: number) => QuotaStrategy | undefined>
+> = {
+  parts: demandShares,
+  counted: () => undefined,
+  'part first': localShareFirst,
+};
 
-const DEMANDS: Readonly<Record<string, Pick<QuotaPlay, 'hostOf'>>> = {
+const DEMANDS: Readonly<Record<string, Pick<QuotaScenario, 'hostOf'>>> = {
   even: {},
   skewed: {
     hostOf: (account, at, random) => (random.float() < 0.9 ? 2 : random.int(9)),
@@ -108,37 +119,40 @@
   moving: {hostOf: (account, at) => Math.floor(at / 1500) % 9},
 };
 
-/** @returns The most in a window, as a share of the quota of a window. */
-function excess(fleet: QuotaFleet, account: string): string {
+/**
+ * @returns The most requests granted in a window, as a fraction of what the
+ *     quota allows in a window.
+ */
+function peakShareOfQuota(fleet: QuotaFleet, account: string): string {
   const {perSecond, burst} = QUOTAS[account]!;
   const allowed = (perSecond * TOLERANCE.windowMs) / 1000 + burst;
   return (fleet.mostInWindow(account, TOLERANCE.windowMs) / allowed).toFixed(2);
 }
 
 console.log(
-  '| hosts | demand | way | flood, most of its quota in 5 s | small flood | large, refused within its quota | small, refused | datagrams a host and second |',
+  '| hosts | demand | strategy | flood, peak share of its quota in 5 s | small flood, peak share | large, refused within its quota | small, refused | datagrams per host and second |',
 );
 console.log('| --- | --- | --- | --- | --- | --- | --- | --- |');
 for (const hosts of [9, 28, 88, 340])
   for (const [demand, {hostOf}] of Object.entries(DEMANDS))
-    for (const [name, way] of Object.entries(WAYS)) {
+    for (const [name, strategy] of Object.entries(STRATEGIES)) {
       const fleet = await QuotaFleet.run({
         hosts,
         quotas: QUOTAS,
         tolerance: TOLERANCE,
         perSecond: (account, at) =>
-          at < QUIET_MS ? 0 : QUOTAS[account]!.perSecond * DEMAND[account]!,
+          at < IDLE_MS ? 0 : QUOTAS[account]!.perSecond * DEMAND[account]!,
         hostOf,
-        lengthMs: LENGTH_MS,
-        way: way(hosts),
+        lengthMs: DURATION_MS,
+        strategy: strategy(hosts),
       });
-      const seconds = (LENGTH_MS - QUIET_MS) / 1000;
-      const figures = [
-        excess(fleet, 'flood'),
-        excess(fleet, 'smallFlood'),
+      const seconds = (DURATION_MS - IDLE_MS) / 1000;
+      const columns = [
+        peakShareOfQuota(fleet, 'flood'),
+        peakShareOfQuota(fleet, 'smallFlood'),
         fleet.refusedShare('large').toFixed(3),
         fleet.refusedShare('small').toFixed(3),
         (fleet.messages / hosts / seconds).toFixed(1),
       ];
-      console.log(`| ${[hosts, demand, name, ...figures].join(' | ')} |`);
+      console.log(`| ${[hosts, demand, name, ...columns].join(' | ')} |`);
     }
--- a/packages/gateway/src/test/fakes/fake_clock.ts
+++ b/packages/gateway/src/test/fakes/fake_clock.ts
@@ -5,7 +5,7 @@
   readonly callback: () => void;
 }
 
-/** A clock that a test moves. */
+/** A clock that advances only when a test tells it to. */
 export class FakeClock implements Clock {
   private time = 0;
   private readonly timers = new Set<Timer>();
@@ -24,7 +24,7 @@
     return {[Symbol.dispose]: () => void this.timers.delete(timer)};
   }
 
-  /** @param ms - How much later it is, in milliseconds. */
+  /** @param ms - How far to advance the clock, in milliseconds. */
   pass(ms: number): void {
     this.time += ms;
     for (const timer of [...this.timers]) {
--- a/packages/gateway/src/test/fakes/quota_fleet.ts
+++ b/packages/gateway/src/test/fakes/quota_fleet.ts
@@ -1,7 +1,7 @@
 /**
- * Plays a fleet in virtual time with the code that keeps quotas: hosts that ask each
- * other by datagrams, cuts between them, hosts that are lost and come, and accounts
- * that send as much as they are told to.
+ * Simulates a fleet in virtual time with the production code for quotas: hosts
+ * that exchange datagrams, network partitions, hosts that crash, restart or
+ * join, and accounts that send at given rates.
  */
 import {
   NO_COUNTERS,
@@ -18,31 +18,34 @@
 } from '../../lib/process/account_quotas.js';
 import {FakeClock} from './fake_clock.js';
 
-/** What is played. */
-export interface QuotaPlay {
+/** A simulation scenario. */
+export interface QuotaScenario {
   readonly hosts: number;
   readonly quotas: Readonly<Record<string, RequestQuota>>;
   readonly tolerance: QuotaTolerance;
-  /** @returns Requests a second of an account at a moment. */
+  /** @returns Requests per second of an account at a given time. */
   readonly perSecond: (account: string, atMs: number) => number;
-  /** @returns The host, by number, that a request of an account comes to. */
+  /**
+   * @returns Index of the host that receives a request of an account; a random
+   *     host by default.
+   */
   readonly hostOf?: (account: string, atMs: number, random: Random) => number;
   readonly lengthMs: number;
-  /** Called at each millisecond; changes the fleet. */
+  /** Called every millisecond; may change the fleet. */
   readonly onTick?: (fleet: QuotaFleet, atMs: number) => void;
   readonly seed?: number;
-  /** Decides in place of {@link AccountQuotas}, to compare ways. */
-  readonly way?: QuotaWay;
+  /** Decides instead of {@link AccountQuotas}, to compare strategies. */
+  readonly strategy?: QuotaStrategy;
 }
 
-/** Another way to keep quotas. */
-export interface QuotaWay {
+/** An alternative strategy to enforce quotas. */
+export interface QuotaStrategy {
   /**
-   * @param host - Its number.
-   * @param account - Whose request came.
-   * @param at - In milliseconds.
-   * @param counted - Asks the host that counts.
-   * @returns Whether it may run.
+   * @param host - Index of the host that received the request.
+   * @param account - The account of the request.
+   * @param at - The current time, in milliseconds.
+   * @param counted - Asks the quota owner.
+   * @returns Whether the request may run.
    */
   take(
     host: number,
@@ -50,105 +53,118 @@
     at: number,
     counted: () => Promise<boolean>,
   ): boolean | Promise<boolean>;
-  /** Called at each millisecond. @returns Datagrams that were sent. */
+  /**
+   * Called every millisecond.
+   *
+   * @returns Number of datagrams sent.
+   */
   tick(fleet: QuotaFleet, at: number): number;
 }
 
 /** A request that was granted or refused. */
-export interface PlayedRequest {
+export interface SimulatedRequest {
   readonly account: string;
   readonly host: number;
   readonly at: number;
   readonly granted: boolean;
 }
 
-/** One way between hosts, in milliseconds. */
+/** One-way network latency between hosts, in milliseconds. */
 const LATENCY_MS = 1;
 const SECOND_MS = 1000;
 
-interface PlayedHost {
+interface SimulatedHost {
   readonly address: CountingHost;
   quotas: AccountQuotas;
   alive: boolean;
-  /** Hosts by number that it takes for live. */
+  /** Indices of the hosts that this host considers live. */
   view: readonly number[];
 }
 
-/** The fleet while it is played. */
+/** A simulated fleet and the requests that it handled. */
 export class QuotaFleet {
-  readonly requests: PlayedRequest[] = [];
-  /** Datagrams that were sent. */
+  readonly requests: SimulatedRequest[] = [];
+  /** Number of datagrams sent. */
   messages = 0;
-  /** Whether a datagram between two hosts arrives. */
+  /** Whether a datagram from one host reaches another. */
   reaches: (from: number, to: number) => boolean = () => true;
   private readonly clock = new FakeClock();
   private readonly random: Random;
-  private readonly hosts: PlayedHost[] = [];
+  private readonly hosts: SimulatedHost[] = [];
 
-  private constructor(private readonly play: QuotaPlay) {
-    this.random = seededRandom(play.seed ?? 1);
-    for (let i = 0; i < play.hosts; i++) this.addHost();
+  private constructor(private readonly scenario: QuotaScenario) {
+    this.random = seededRandom(scenario.seed ?? 1);
+    for (let i = 0; i < scenario.hosts; i++) this.addHost();
     this.setViews();
     for (const {quotas} of this.hosts) quotas.start();
   }
 
   /**
-   * @param play - What is played.
-   * @returns The fleet after it.
+   * @param scenario - The scenario to simulate.
+   * @returns The fleet after the simulation.
    */
-  static async run(play: QuotaPlay): Promise<QuotaFleet> {
-    const fleet = new QuotaFleet(play);
+  static async run(scenario: QuotaScenario): Promise<QuotaFleet> {
+    const fleet = new QuotaFleet(scenario);
     await fleet.run();
     return fleet;
   }
 
-  /** All live hosts know the live hosts from now on. */
+  /** Updates the host lists of all hosts to the hosts that are live now. */
   setViews(): void {
     const live = [...this.hosts.keys()].filter(i => this.hosts[i]!.alive);
     for (const host of this.hosts) host.view = live;
   }
 
-  /** @param host - Is without power from now on; others do not know. */
+  /**
+   * @param host - Host that crashes. The other hosts still consider it live.
+   */
   lose(host: number): void {
     this.hosts[host]!.alive = false;
   }
 
-  /** @param host - Starts anew and knows nothing of what ran. */
+  /** @param host - Host that restarts without any state. */
   restart(host: number): void {
-    const played = this.hosts[host]!;
-    played.alive = true;
-    played.quotas = this.newQuotas(host, played.address);
-    played.quotas.start();
+    const restarted = this.hosts[host]!;
+    restarted.alive = true;
+    restarted.quotas = this.newQuotas(host, restarted.address);
+    restarted.quotas.start();
   }
 
-  /** Adds a host, known to none but itself and those it is told. */
+  /** Adds a host. The other hosts know it only after {@link setViews}. */
   addHost(): void {
     const i = this.hosts.length;
     const address = {id: `h${i}.1`, host: `h${i}`, ip: '127.0.0.1', port: i};
-    const played = {
+    const added = {
       address,
       quotas: this.newQuotas(i, address),
       alive: true,
       view: [i],
     };
-    this.hosts.push(played);
+    this.hosts.push(added);
   }
 
-  /** @returns The most requests of an account in any span, granted. */
+  /**
+   * @param account - Name of the account.
+   * @param windowMs - Length of the window, in milliseconds.
+   * @returns The most requests of the account that were granted in any window.
+   */
   mostInWindow(account: string, windowMs: number): number {
     const times = this.requests
       .filter(one => one.account === account && one.granted)
       .map(({at}) => at);
-    let most = 0;
+    let max = 0;
     let first = 0;
     for (let last = 0; last < times.length; last++) {
       while (times[last]! - times[first]! >= windowMs) first++;
-      most = Math.max(most, last - first + 1);
+      max = Math.max(max, last - first + 1);
     }
-    return most;
+    return max;
   }
 
-  /** @returns The share of an account's requests that was refused. */
+  /**
+   * @param account - Name of the account.
+   * @returns The fraction of the account's requests that was refused.
+   */
   refusedShare(account: string): number {
     const own = this.requests.filter(one => one.account === account);
     const refused = own.filter(({granted}) => !granted).length;
@@ -163,8 +179,8 @@
       log: NO_EVENT_LOG,
       counters: NO_COUNTERS,
       hosts: () => this.hosts[i]!.view.map(other => this.hosts[other]!.address),
-      tolerance: () => this.play.tolerance,
-      quotaOf: account => this.play.quotas[account],
+      tolerance: () => this.scenario.tolerance,
+      quotaOf: account => this.scenario.quotas[account],
       send: (message, to) => this.send(i, to.port, encodeQuota(message)),
     });
   }
@@ -179,38 +195,42 @@
   }
 
   private async run(): Promise<void> {
-    const {lengthMs, quotas, onTick} = this.play;
+    const {lengthMs, quotas, onTick} = this.scenario;
     for (let at = 0; at < lengthMs; at++) {
       onTick?.(this, at);
-      this.messages += this.play.way?.tick(this, at) ?? 0;
-      for (const account of Object.keys(quotas)) this.arrive(account, at);
+      this.messages += this.scenario.strategy?.tick(this, at) ?? 0;
+      for (const account of Object.keys(quotas))
+        this.generateArrivals(account, at);
       this.clock.pass(1);
       await new Promise(resolve => setImmediate(resolve));
     }
   }
 
-  private arrive(account: string, at: number): void {
-    const {perSecond, hostOf} = this.play;
+  private generateArrivals(account: string, at: number): void {
+    const {perSecond, hostOf} = this.scenario;
     let expected = perSecond(account, at) / SECOND_MS;
     for (; expected > 0; expected--) {
       if (this.random.float() >= expected) continue;
       const host =
         hostOf?.(account, at, this.random) ??
         this.random.int(this.hosts.length);
-      if (this.hosts[host]!.alive) void this.ask(account, host);
+      if (this.hosts[host]!.alive) void this.requestQuota(account, host);
     }
   }
 
-  private async ask(account: string, host: number): Promise<void> {
+  private async requestQuota(account: string, host: number): Promise<void> {
     const {quotas} = this.hosts[host]!;
     const counted = async () => {
-      const verdict = await quotas.take(account, this.play.quotas[account]!);
+      const verdict = await quotas.take(
+        account,
+        this.scenario.quotas[account]!,
+      );
       return verdict.kind === 'granted';
     };
     const now = this.clock.now();
-    const {way} = this.play;
-    const granted = await (way
-      ? way.take(host, account, now, counted)
+    const {strategy} = this.scenario;
+    const granted = await (strategy
+      ? strategy.take(host, account, now, counted)
       : counted());
     this.requests.push({account, host, at: this.clock.now(), granted});
   }
--- a/packages/gateway/src/test/fakes/raw_target.ts
+++ b/packages/gateway/src/test/fakes/raw_target.ts
@@ -1,9 +1,12 @@
-/** A target that writes bytes of the test's choice, and headers to read them. */
+/**
+ * A target that sends raw bytes chosen by a test, and a header protocol to
+ * parse them.
+ */
 import {once} from 'node:events';
 import {createServer, type AddressInfo, type Socket} from 'node:net';
 import type {TargetProtocol} from '../../lib/request/target_protocol.js';
 
-/** Headers with short names. */
+/** Header protocol with short header names. */
 export const PROTOCOL: TargetProtocol = {
   readRequest: () => ({
     requestId: undefined,
@@ -24,8 +27,8 @@
 };
 
 /**
- * @param onConnection - Plays the target.
- * @returns Where it listens, until disposed.
+ * @param onConnection - Handles the connections of the target.
+ * @returns The address of the target, which listens until disposed.
  */
 export async function listen(onConnection: (socket: Socket) => void) {
   const sockets = new Set<Socket>();
--- a/packages/gateway/src/test/fakes/targets.ts
+++ b/packages/gateway/src/test/fakes/targets.ts
@@ -1,7 +1,7 @@
 import type {Target} from '../../lib/connection/target.js';
 
-/** A server of an older kind: a new id at each start. */
-const PLAIN: Target = {
+/** A server without a start time, which has a new id after each start. */
+const BASE_TARGET: Target = {
   id: 't',
   serverId: 't',
   startedAtMs: undefined,
@@ -12,17 +12,20 @@
   leaving: false,
 };
 
-/** @returns A target with an id of its own. */
-export function targetOf(id: string, rest: Partial<Target> = {}): Target {
-  return {...PLAIN, id, serverId: id, ...rest};
+/** @returns A target with the given id. */
+export function targetOf(id: string, overrides: Partial<Target> = {}): Target {
+  return {...BASE_TARGET, id, serverId: id, ...overrides};
 }
 
-/** @returns One run of a server that keeps its id when it starts again. */
+/**
+ * @returns One incarnation of a server that keeps its server id after a
+ *     restart.
+ */
 export function runOf(
   serverId: string,
   startedAtMs: number,
-  rest: Partial<Target> = {},
+  overrides: Partial<Target> = {},
 ): Target {
   const id = `${serverId}@${startedAtMs}`;
-  return {...PLAIN, id, serverId, startedAtMs, ...rest};
+  return {...BASE_TARGET, id, serverId, startedAtMs, ...overrides};
 }
--- a/packages/gateway/src/test/fakes/wide_fleet.ts
+++ b/packages/gateway/src/test/fakes/wide_fleet.ts
@@ -1,8 +1,8 @@
 /**
- * Plays a fleet of several data centres in virtual time with the code that chooses
- * targets and tells loads: callers in bursts, hosts that know others' loads by
- * messages, targets that run what comes in order, and items of batch jobs that never
- * run out.
+ * Simulates a fleet of several data centres in virtual time with the production
+ * code for target choice and load reports: callers that arrive in bursts, hosts
+ * that know the loads of others from messages, targets that run requests in
+ * order of arrival, and an unlimited supply of batch items.
  */
 import {
   NO_COUNTERS,
@@ -42,64 +42,75 @@
 import {FakeClock} from './fake_clock.js';
 import {targetOf} from './targets.js';
 
-/** The fleet, and the load that is played. */
+/** The simulated fleet and its load. */
 export interface WideLoad {
   readonly seed: number;
   readonly dataCentres: number;
-  /** Hosts and targets of each data centre. */
+  /** Number of hosts and of targets in each data centre. */
   readonly hosts: number;
   readonly targets: number;
   readonly slots: number;
-  /** A run at a free slot, in milliseconds. */
+  /** Mean duration of an online request in a free slot, in milliseconds. */
   readonly runMs: number;
   readonly firstByteMs: number;
   readonly itemMs: number;
-  /** Items that each host has to run at any time. */
+  /** Number of batch items that each host tries to keep running. */
   readonly items: number;
   readonly pressure: BatchPressure;
   readonly goalMs: number;
-  /** How long callers wait, in milliseconds. */
+  /** How long callers wait for a response, in milliseconds. */
   readonly patienceMs: number;
-  /** Arrivals a second in a burst and before it. */
+  /** Arrivals per second during the burst and before it. */
   readonly burstRate: number;
   readonly calmRate: number;
-  /** How many times as many callers come to the first data centre as to others; as
-   * many by default. */
+  /**
+   * Number of callers in the first data centre for each caller in another one;
+   * 1 by default.
+   */
   readonly crowding?: number;
-  /** When the burst begins, and the end, in milliseconds. */
+  /** Start of the burst and end of the simulation, in milliseconds. */
   readonly burstAtMs: number;
   readonly lengthMs: number;
 }
 
-/** How hosts tell their loads, and whether a data centre has a coordinator. */
+/**
+ * Parameters of the load reports, and whether data centres have coordinators.
+ */
 export interface WideOptions extends LoadTellingOptions {
   readonly coordinated: boolean;
-  /** Whether a place in another data centre is asked of its coordinator. */
+  /**
+   * Whether slots in other data centres are requested from their coordinators.
+   */
   readonly asksOthers?: boolean;
-  /** From when on those who coordinate answer nobody, in milliseconds. */
+  /** Time after which coordinators no longer reply, in milliseconds. */
   readonly coordinatorsLostAtMs?: number;
 }
 
-/** What came of the requests, and of the messages. */
-export interface WideOutcome {
+/** Outcomes of the requests and batch items, and number of messages. */
+export interface FleetOutcome {
   requests: number;
   inTime: number;
   inTimeOnReturn: number;
   late: number;
   failed: number;
-  /** Items that were ended, and that were done. */
-  /** Requests that were neither begun nor refused within their objective. */
+  /**
+   * Requests that were neither started nor refused within their latency
+   * objective.
+   */
   unplaced: number;
+  /** Batch items that were preempted, and that were completed. */
   itemsCut: number;
   itemsDone: number;
-  /** Messages that hosts sent, and their bytes to other data centres. */
+  /**
+   * Messages sent by hosts, and bytes of load reports to other data centres.
+   */
   messages: number;
   farBytes: number;
 }
 
 interface Caller {
   readonly arrivedAt: number;
-  readonly cameAt: number;
+  readonly lastArrivalAt: number;
   readonly returning: boolean;
   readonly host: Host;
 }
@@ -110,44 +121,44 @@
   readonly host: Host;
   readonly runMs: number;
   readonly sentAt: number;
-  readonly foundFree: boolean;
+  readonly hadFreeSlot: boolean;
   startsAt: number | undefined;
 }
 
 interface Host extends LoadPeer {
   readonly loads: LoadTable;
-  readonly telling: LoadTelling<Host>;
+  readonly reporter: LoadTelling<Host>;
   readonly chooser: TargetChooser;
   readonly placement: Placement<Host>;
   readonly overload: ServiceOverload;
   readonly tickPhaseMs: number;
-  /** When each of its items that do not run may be sent again. */
+  /** Times at which the waiting items of this host may be sent again. */
   itemsWaiting: number[];
-  /** Whether it looks for places for items now. */
-  startingItems: boolean;
-  /** Until when it takes all targets to be full of items. */
+  /** Whether slots for items are being requested now. */
+  isStartingItems: boolean;
+  /** Time until which all targets are assumed to be full for batch items. */
   fullUntil: number;
 }
 
 const STEP_MS = 5;
 const TICK_MS = 25;
-const STARTS_PER_TICK = 3;
-/** An item that gave way waits so long. */
-const ITEM_WAIT_MS = 250;
-const FULL_MS = 50;
-const LATEST_RETURN_SHARE = 1 / 3;
-const SPREAD = 0.25;
+const MAX_STARTS_PER_TICK = 3;
+/** Delay before a preempted item is sent again, in milliseconds. */
+const PREEMPTED_ITEM_WAIT_MS = 250;
+const FULL_BACKOFF_MS = 50;
+const MAX_RETRY_DELAY_SHARE = 1 / 3;
+const RUN_TIME_SPREAD = 0.25;
 const SERVICE = 's';
-const NONE: ReadonlySet<string> = new Set();
+const NO_TARGETS: ReadonlySet<string> = new Set();
 
-/** Plays a fleet to its end. */
+/** Simulates a fleet. */
 export class WideFleet {
   private readonly random: Random;
   private readonly clock = new FakeClock();
   private readonly targets: readonly Target[];
   private readonly hosts: readonly Host[];
   private readonly runs = new Map<string, Run[]>();
-  private readonly outcome: WideOutcome = {
+  private readonly outcome: FleetOutcome = {
     requests: 0,
     inTime: 0,
     inTimeOnReturn: 0,
@@ -160,12 +171,12 @@
     farBytes: 0,
   };
   private waiting: Caller[] = [];
-  private returning: Caller[] = [];
-  private mail: Array<() => void> = [];
+  private retrying: Caller[] = [];
+  private undeliveredMessages: Array<() => void> = [];
 
   /**
-   * @param load - What is played.
-   * @param options - How hosts tell their loads.
+   * @param load - The fleet and its load.
+   * @param options - Parameters of load reports and coordination.
    */
   constructor(
     private readonly load: WideLoad,
@@ -190,17 +201,17 @@
     );
   }
 
-  /** @returns What came of all requests. */
-  async play(): Promise<WideOutcome> {
+  /** @returns Outcomes of all requests. */
+  async play(): Promise<FleetOutcome> {
     while (this.now < this.load.lengthMs) {
       this.step();
       this.clock.pass(STEP_MS);
-      // Answers that came in this step are acted upon in it.
+      // Lets replies that arrived in this step take effect within it.
       await new Promise(resolve => setImmediate(resolve));
     }
     const overdue = this.now - this.load.goalMs;
     this.outcome.unplaced = this.waiting.filter(
-      ({cameAt}) => cameAt < overdue,
+      ({lastArrivalAt}) => lastArrivalAt < overdue,
     ).length;
     return this.outcome;
   }
@@ -216,12 +227,12 @@
     const directory = new TargetDirectory({clock, log});
     for (const target of this.targets) directory.put(target);
     const loads = new LoadTable(now);
-    const count = () => this.hosts.length;
+    const hostCount = () => this.hosts.length;
     const overload = new ServiceOverload({
       clock,
       random,
       directory,
-      hosts: count,
+      hosts: hostCount,
     });
     const chooser = new TargetChooser({
       dataCentre,
@@ -230,11 +241,11 @@
       health: new ServiceHealth(clock),
       overload,
       loads,
-      homes: new HomeTargets({self: id, dataCentre, hosts: count}),
+      homes: new HomeTargets({self: id, dataCentre, hosts: hostCount}),
       random,
     });
     const self = {id, dataCentre};
-    const telling = new LoadTelling<Host>(
+    const reporter = new LoadTelling<Host>(
       {self, table: loads, now, random},
       this.options,
     );
@@ -247,33 +258,33 @@
       directory,
       own: new Coordinator({self: id, dataCentre, chooser, loads, now}),
       coordinator: () =>
-        this.options.coordinated ? telling.coordinator : undefined,
+        this.options.coordinated ? reporter.coordinator : undefined,
       coordinatorOf: name =>
-        this.options.asksOthers ? telling.coordinatorOf(name) : undefined,
+        this.options.asksOthers ? reporter.coordinatorOf(name) : undefined,
       peer: peer => this.hosts.find(one => one.id === peer),
       send: (message, to) => this.post(message, to),
-      onYield: (targetId, items) => this.giveWay(id, targetId, items),
+      onYield: (targetId, items) => this.preemptItems(id, targetId, items),
     });
     const tickPhaseMs = random.int(this.options.periodMs / STEP_MS) * STEP_MS;
     const itemsWaiting = [...Array(this.load.items).keys()].map(() => 0);
     return {
       ...self,
       loads,
-      telling,
+      reporter,
       chooser,
       placement,
       overload,
       tickPhaseMs,
       itemsWaiting,
-      startingItems: false,
+      isStartingItems: false,
       fullUntil: 0,
     };
   }
 
   private step(): void {
     this.deliver();
-    this.arrive();
-    for (const target of this.targets) this.admit(target);
+    this.generateArrivals();
+    for (const target of this.targets) this.advanceRuns(target);
     const waiting = this.waiting;
     this.waiting = [];
     for (const caller of waiting) void this.place(caller);
@@ -281,9 +292,9 @@
   }
 
   private deliver(): void {
-    const mail = this.mail;
-    this.mail = [];
-    for (const deliver of mail) deliver();
+    const messages = this.undeliveredMessages;
+    this.undeliveredMessages = [];
+    for (const deliver of messages) deliver();
   }
 
   private post(message: PlacementMessage, to: Host): void {
@@ -291,10 +302,12 @@
     this.outcome.messages++;
     const {coordinatorsLostAtMs = Infinity} = this.options;
     if (message.kind === 'ask' && this.now >= coordinatorsLostAtMs) return;
-    this.mail.push(() => to.placement.hear(decodePlacement(bytes)!));
+    this.undeliveredMessages.push(() =>
+      to.placement.hear(decodePlacement(bytes)!),
+    );
   }
 
-  private arrive(): void {
+  private generateArrivals(): void {
     const {burstAtMs, burstRate, calmRate} = this.load;
     const rate = this.now >= burstAtMs ? burstRate : calmRate;
     let expected = (rate * STEP_MS) / 1000;
@@ -302,16 +315,23 @@
       if (this.random.float() >= expected) continue;
       this.outcome.requests++;
       const {now} = this;
-      const host = this.anyHost();
-      this.waiting.push({arrivedAt: now, cameAt: now, returning: false, host});
+      const host = this.pickHost();
+      this.waiting.push({
+        arrivedAt: now,
+        lastArrivalAt: now,
+        returning: false,
+        host,
+      });
     }
     this.waiting.push(
-      ...this.returning.filter(({cameAt}) => cameAt <= this.now),
+      ...this.retrying.filter(({lastArrivalAt}) => lastArrivalAt <= this.now),
+    );
+    this.retrying = this.retrying.filter(
+      ({lastArrivalAt}) => lastArrivalAt > this.now,
     );
-    this.returning = this.returning.filter(({cameAt}) => cameAt > this.now);
   }
 
-  private anyHost(): Host {
+  private pickHost(): Host {
     const {hosts, dataCentres, crowding = 1} = this.load;
     const place = this.random.float() * (dataCentres - 1 + crowding) - crowding;
     const dataCentre = place < 0 ? 0 : 1 + Math.floor(place);
@@ -320,11 +340,12 @@
 
   private async place(caller: Caller): Promise<void> {
     const {goalMs} = this.load;
-    const {host, returning, cameAt} = caller;
+    const {host, returning, lastArrivalAt} = caller;
     const demand = {goalMs, priority: 0, returning};
-    const target = await host.placement.forRequest(SERVICE, demand, NONE);
+    const target = await host.placement.forRequest(SERVICE, demand, NO_TARGETS);
     if (target) this.send(host, target, caller);
-    else if (this.now < cameAt + patienceMs(demand)) this.waiting.push(caller);
+    else if (this.now < lastArrivalAt + patienceMs(demand))
+      this.waiting.push(caller);
     else this.refuse(caller);
   }
 
@@ -334,33 +355,41 @@
       return;
     }
     const leftMs = this.load.patienceMs - (this.now - caller.arrivedAt);
-    const latestMs = leftMs * LATEST_RETURN_SHARE;
+    const latestMs = leftMs * MAX_RETRY_DELAY_SHARE;
     const inMs = caller.host.overload.returnAfterMs(SERVICE, latestMs);
-    const cameAt = this.now + inMs;
-    const host = this.anyHost();
-    this.returning.push({...caller, returning: true, cameAt, host});
+    const lastArrivalAt = this.now + inMs;
+    const host = this.pickHost();
+    this.retrying.push({
+      ...caller,
+      returning: true,
+      lastArrivalAt,
+      host,
+    });
   }
 
   private send(host: Host, target: Target, caller: Caller | undefined): void {
     const key = targetKey(target.id);
     const {online, batch} = host.loads.at(key);
-    const foundFree = online + batch < target.slots;
+    const hadFreeSlot = online + batch < target.slots;
     const load = host.loads.begin(key, caller ? 'online' : 'batch');
     const {runMs, itemMs} = this.load;
-    const spread = 1 + SPREAD * (2 * this.random.float() - 1);
+    const spread = 1 + RUN_TIME_SPREAD * (2 * this.random.float() - 1);
     this.runs.get(target.id)!.push({
       caller,
       load,
       host,
       runMs: (caller ? runMs : itemMs) * spread,
       sentAt: this.now,
-      foundFree,
+      hadFreeSlot,
       startsAt: undefined,
     });
   }
 
-  /** Ends what is done, and begins what has come first. */
-  private admit(target: Target): void {
+  /**
+   * Ends the runs that are complete and starts waiting ones in order of
+   * arrival.
+   */
+  private advanceRuns(target: Target): void {
     const runs = this.runs.get(target.id)!;
     const isDone = ({startsAt, runMs}: Run) =>
       startsAt !== undefined && startsAt + runMs <= this.now;
@@ -374,8 +403,8 @@
     run.startsAt = this.now;
     if (!run.caller) return;
     const {goalMs, firstByteMs} = this.load;
-    const {cameAt, returning} = run.caller;
-    if (this.now + firstByteMs - cameAt > goalMs) this.outcome.late++;
+    const {lastArrivalAt, returning} = run.caller;
+    if (this.now + firstByteMs - lastArrivalAt > goalMs) this.outcome.late++;
     else if (returning) this.outcome.inTimeOnReturn++;
     else this.outcome.inTime++;
   }
@@ -387,7 +416,7 @@
       this.outcome.itemsDone++;
       run.host.itemsWaiting.push(this.now);
     }
-    if (run.caller && run.foundFree) {
+    if (run.caller && run.hadFreeSlot) {
       const runMs = this.now - run.sentAt;
       const waitedMs = run.startsAt! - run.sentAt;
       const pace = {firstByteMs: waitedMs + firstByteMs, runMs};
@@ -403,36 +432,38 @@
 
   private tick(host: Host): void {
     const sinceStart = this.now + host.tickPhaseMs;
-    if (sinceStart % this.options.periodMs === 0) this.tell(host);
+    if (sinceStart % this.options.periodMs === 0) this.reportLoad(host);
     if (sinceStart % TICK_MS !== 0) return;
-    this.yieldItems(host);
+    this.preemptExcessItems(host);
     void this.startItems(host);
   }
 
   private async startItems(host: Host): Promise<void> {
-    if (host.startingItems || this.now < host.fullUntil) return;
-    host.startingItems = true;
-    for (let started = 0; started < STARTS_PER_TICK; started++) {
+    if (host.isStartingItems || this.now < host.fullUntil) return;
+    host.isStartingItems = true;
+    for (let started = 0; started < MAX_STARTS_PER_TICK; started++) {
       const next = host.itemsWaiting.findIndex(at => at <= this.now);
       if (next < 0) break;
       const {pressure} = this.load;
       const target = await host.placement.forItem(SERVICE, pressure);
       if (!target) {
-        host.fullUntil = this.now + FULL_MS;
+        host.fullUntil = this.now + FULL_BACKOFF_MS;
         break;
       }
       host.itemsWaiting.splice(next, 1);
       this.send(host, target, undefined);
     }
-    host.startingItems = false;
+    host.isStartingItems = false;
   }
 
-  private tell(host: Host): void {
+  private reportLoad(host: Host): void {
     const peers = this.hosts.filter(one => one !== host);
-    for (const {message, peers: to} of host.telling.due(peers)) {
+    for (const {message, peers: to} of host.reporter.due(peers)) {
       const bytes = encodeLoad(message);
       for (const peer of to) {
-        this.mail.push(() => peer.telling.hear(decodeLoad(bytes)!));
+        this.undeliveredMessages.push(() =>
+          peer.reporter.hear(decodeLoad(bytes)!),
+        );
         this.outcome.messages++;
         if (peer.dataCentre !== host.dataCentre)
           this.outcome.farBytes += bytes.length;
@@ -440,21 +471,21 @@
     }
   }
 
-  private yieldItems(host: Host): void {
+  private preemptExcessItems(host: Host): void {
     for (const target of this.targets) {
       const count = host.chooser.itemsToYield(target, host.id);
-      if (count > 0) this.giveWay(host.id, target.id, count);
+      if (count > 0) this.preemptItems(host.id, target.id, count);
     }
   }
 
-  private giveWay(hostId: string, targetId: string, count: number): void {
+  private preemptItems(hostId: string, targetId: string, count: number): void {
     const target = this.targets.find(({id}) => id === targetId)!;
     const items = this.runs
       .get(targetId)!
       .filter(({host, caller}) => host.id === hostId && !caller);
     for (const run of items.slice(-count)) {
       this.outcome.itemsCut++;
-      run.host.itemsWaiting.push(this.now + ITEM_WAIT_MS);
+      run.host.itemsWaiting.push(this.now + PREEMPTED_ITEM_WAIT_MS);
       this.remove(target, run);
     }
   }
