--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -1,7 +1,8 @@
 /**
- * Online requests by route to the targets of a service: choice of target,
- * retries, streams, readiness, planned stops. The configuration, the list of
- * targets and the headers on the wire come in through interfaces.
+ * Gateway for online requests: matches a request to a route, chooses a target
+ * of the service, retries, streams responses, reports readiness and drains on
+ * planned stops. The configuration, the list of targets and the headers on the
+ * wire are supplied through interfaces.
  *
  * @packageDocumentation
  */
--- a/packages/gateway/src/lib/connection/connection_pool.ts
+++ b/packages/gateway/src/lib/connection/connection_pool.ts
@@ -1,4 +1,7 @@
-/** Kept connections to targets: the one used last is used first. */
+/**
+ * Pool of keep-alive connections to targets. The most recently used connection
+ * is reused first.
+ */
 import type {Counters} from '@oathead/core';
 import {
   DEFAULT_CONNECTION_TIMEOUTS,
@@ -6,13 +9,13 @@
   type ConnectionTimeouts,
 } from './target_connection.js';
 
-/** Connections by target. */
+/** Idle connections by target id. */
 export class ConnectionPool implements Disposable {
   private readonly idle = new Map<string, TargetConnection[]>();
 
   /**
-   * @param counters - Counts connections that are made.
-   * @param timeouts - Of each connection.
+   * @param counters - Counts connections that are opened.
+   * @param timeouts - Timeouts that apply to each connection.
    */
   constructor(
     private readonly counters: Counters,
@@ -20,46 +23,54 @@
   ) {}
 
   /**
-   * @param targetId - Whose connection is wanted; addresses are used again.
-   * @param address - Where the target listens.
-   * @returns A kept connection, or one that is made with the first request.
+   * @param targetId - Id of the target. Connections are pooled by id, because
+   *     an address can be reused by another target.
+   * @param address - IP address and port at which the target listens.
+   * @returns An idle connection, or a new one that is opened with its first
+   *     request.
    */
-  take(targetId: string, address: string): TargetConnection {
-    const kept = this.idle.get(targetId);
-    let connection = kept?.pop();
-    while (connection && !connection.usable) connection = kept?.pop();
+  acquire(targetId: string, address: string): TargetConnection {
+    const idleConnections = this.idle.get(targetId);
+    let connection = idleConnections?.pop();
+    while (connection && !connection.usable)
+      connection = idleConnections?.pop();
     if (connection) return connection;
     this.counters.count('target_connections');
     return new TargetConnection(address, this.timeouts);
   }
 
   /**
-   * Keeps a connection whose answer was whole and whose request was sent. It can
-   * be taken a turn of the event loop later: bytes that follow an answer in the
-   * same packet belong to no request, and undici would take them for the answer
-   * to a request that is queued already. With none queued it drops the
-   * connection.
+   * Returns a connection to the pool after a complete response to a request
+   * that was fully sent.
    *
-   * @param targetId - Whose connection it is.
+   * The connection becomes available in the next turn of the event loop. Bytes
+   * that follow a response in the same packet belong to no request. If a
+   * request were already queued, undici would parse them as the response to it;
+   * with none queued, undici closes the connection.
+   *
+   * @param targetId - Id of the target.
    * @param connection - The connection, with no request on it.
    */
-  keep(targetId: string, connection: TargetConnection): void {
+  release(targetId: string, connection: TargetConnection): void {
     setImmediate(() => {
       if (!connection.usable) return;
-      const kept = this.idle.get(targetId) ?? [];
-      this.idle.set(targetId, kept);
-      kept.push(connection);
+      const idleConnections = this.idle.get(targetId) ?? [];
+      this.idle.set(targetId, idleConnections);
+      idleConnections.push(connection);
     });
   }
 
-  /** @param targetId - A target that is gone: its connections are closed. */
+  /**
+   * @param targetId - A target that no longer exists. Its idle connections are
+   *     closed.
+   */
   forget(targetId: string): void {
     for (const connection of this.idle.get(targetId) ?? [])
       connection[Symbol.dispose]();
     this.idle.delete(targetId);
   }
 
-  /** Closes all kept connections. */
+  /** Closes all idle connections. */
   [Symbol.dispose](): void {
     for (const targetId of [...this.idle.keys()]) this.forget(targetId);
   }
--- a/packages/gateway/src/lib/connection/host_socket.ts
+++ b/packages/gateway/src/lib/connection/host_socket.ts
@@ -1,48 +1,56 @@
 /**
- * Small datagrams between hosts. A lost one is made good by the next or by a timeout
- * of who waits for it; one that is late is worth nothing.
+ * UDP socket for small datagrams between hosts. A lost datagram is superseded
+ * by the next one or handled by a timeout of the host that waits for it; a
+ * datagram that arrives late is of no use.
  */
 import {createSocket, type Socket} from 'node:dgram';
 import {DisposableStore, type Counters, type EventLog} from '@oathead/core';
 
-/** Where a host listens. */
+/** Address at which a host listens. */
 export interface HostAddress {
   readonly ip: string;
   readonly port: number;
 }
 
-/** Takes datagrams of one kind. @returns Whether it could be read. */
+/**
+ * Handles datagrams of one message type.
+ *
+ * @returns Whether the datagram could be decoded.
+ */
 export type DatagramHandler = (datagram: Uint8Array) => boolean;
 
-/** What a {@link HostSocket} needs. */
+/** Dependencies of a {@link HostSocket}. */
 export interface HostSocketContext {
   readonly self: HostAddress;
   readonly log: EventLog;
   readonly counters: Counters;
 }
 
-/** Every datagram is a msgpack array of fewer than 16 fields, whose first is a small
- * number that names its kind: its second byte. */
+/**
+ * Offset of the message type. Every datagram is a msgpack array of fewer than
+ * 16 fields, whose header takes one byte. The first field is a small integer
+ * that identifies the message type and takes the second byte.
+ */
 const KIND_BYTE = 1;
 
 /** Sends and receives datagrams until disposed. */
 export class HostSocket implements Disposable {
-  private readonly held = new DisposableStore();
+  private readonly disposables = new DisposableStore();
   private readonly handlers = new Map<number, DatagramHandler>();
   private readonly socket: Socket = createSocket('udp4');
 
-  /** @param context - Where to listen. */
+  /** @param context - The own address, the log and the counters. */
   constructor(private readonly context: HostSocketContext) {}
 
   /**
-   * @param kind - The number that comes first in such datagrams.
-   * @param handler - Takes them.
+   * @param kind - Message type: the number in the first field of the datagram.
+   * @param handler - Receives all datagrams of this type.
    */
-  on(kind: number, handler: DatagramHandler): void {
+  setHandler(kind: number, handler: DatagramHandler): void {
     this.handlers.set(kind, handler);
   }
 
-  /** Begins to listen. */
+  /** Binds the socket and starts to receive. */
   start(): void {
     const {self, log, counters} = this.context;
     this.socket.on('message', datagram => {
@@ -53,33 +61,39 @@
       log.event('host-socket-failed', {message: err.message}),
     );
     this.socket.bind(self.port, self.ip);
-    this.held.defer(() => this.socket.close());
+    this.disposables.defer(() => this.socket.close());
   }
 
   /**
-   * @param datagram - What to send.
-   * @param peers - To whom.
-   * @param what - What it is, for the counters.
+   * @param datagram - The encoded message.
+   * @param peers - Hosts that it is sent to.
+   * @param messageType - Name of the message type, used as a label of the
+   *     counters.
    */
   send(
     datagram: Uint8Array,
     peers: readonly HostAddress[],
-    what: string,
+    messageType: string,
   ): void {
-    // What comes to an end while a stop is under way has nobody to be told to.
-    if (this.held.disposed) return;
+    // Requests that end during shutdown still send messages. The socket is
+    // already closed then, and the messages are dropped.
+    if (this.disposables.disposed) return;
     const {counters} = this.context;
     for (const {ip, port} of peers) {
       this.socket.send(datagram, port, ip, err => {
-        if (err) counters.count('datagrams_unsent', {what});
+        if (err) counters.count('datagrams_unsent', {what: messageType});
       });
     }
-    counters.count('datagrams_sent', {what}, peers.length);
-    counters.count('datagram_bytes', {what}, peers.length * datagram.length);
+    counters.count('datagrams_sent', {what: messageType}, peers.length);
+    counters.count(
+      'datagram_bytes',
+      {what: messageType},
+      peers.length * datagram.length,
+    );
   }
 
-  /** Stops listening. */
+  /** Closes the socket. */
   [Symbol.dispose](): void {
-    this.held[Symbol.dispose]();
+    this.disposables[Symbol.dispose]();
   }
 }
--- a/packages/gateway/src/lib/connection/load_exchange.ts
+++ b/packages/gateway/src/lib/connection/load_exchange.ts
@@ -1,5 +1,6 @@
 /**
- * Sends what this host tells of requests in flight, and receives what others tell.
+ * Sends load reports of this host over the host socket and passes on the
+ * reports received from other hosts.
  */
 import {repeat, type Clock, type EventLog, type Random} from '@oathead/core';
 import type {LoadTable} from '../process/load_table.js';
@@ -12,10 +13,10 @@
 import type {HostAddress, HostSocket} from './host_socket.js';
 import {decodeLoad, encodeLoad, LOAD_FORMAT} from './load_message.js';
 
-/** Another host, and where it listens. */
+/** Another host and the address at which it listens. */
 export interface HostPeer extends LoadPeer, HostAddress {}
 
-/** What a {@link LoadExchange} needs. */
+/** Dependencies of a {@link LoadExchange}. */
 export interface LoadExchangeContext {
   readonly self: LoadPeer;
   readonly table: LoadTable;
@@ -23,61 +24,67 @@
   readonly clock: Clock;
   readonly random: Random;
   readonly log: EventLog;
-  /** The hosts to tell, this one not among them. */
+  /** The hosts to report to, without this one. */
   readonly peers: () => readonly HostPeer[];
 }
 
-/** Tells and hears loads until disposed. */
+/** Sends and receives load reports until disposed. */
 export class LoadExchange implements Disposable {
-  private readonly telling: LoadTelling<HostPeer>;
+  private readonly reporter: LoadTelling<HostPeer>;
   private timer: Disposable | undefined;
   private coordinatorId: string | undefined;
 
   /**
-   * @param context - The table and whom to tell.
-   * @param options - How often.
+   * @param context - The load table, the socket and the peers.
+   * @param options - Report intervals and rate limits.
    */
   constructor(
     private readonly context: LoadExchangeContext,
     private readonly options: LoadTellingOptions = DEFAULT_LOAD_TELLING,
   ) {
     const now = () => context.clock.now();
-    this.telling = new LoadTelling({...context, now}, options);
-    context.socket.on(LOAD_FORMAT, datagram => this.receive(datagram));
+    this.reporter = new LoadTelling({...context, now}, options);
+    context.socket.setHandler(LOAD_FORMAT, datagram => this.receive(datagram));
   }
 
-  /** Begins to tell. */
+  /** Starts to send load reports periodically. */
   start(): void {
     const {clock} = this.context;
     this.timer = repeat(clock, this.options.periodMs, () => this.tick());
   }
 
-  /** Stops telling. */
+  /** Stops sending. */
   [Symbol.dispose](): void {
     this.timer?.[Symbol.dispose]();
   }
 
-  /** Who places the requests of this data centre; undefined: this host, or nobody. */
+  /**
+   * The coordinator of this data centre; undefined if it is this host or if
+   * there is none.
+   */
   get coordinator(): HostPeer | undefined {
-    return this.telling.coordinator;
+    return this.reporter.coordinator;
   }
 
-  /** @returns Who places the requests of another data centre; undefined: nobody. */
+  /**
+   * @param dataCentre - Name of another data centre.
+   * @returns Its coordinator; undefined if there is none.
+   */
   coordinatorOf(dataCentre: string): HostPeer | undefined {
-    return this.telling.coordinatorOf(dataCentre);
+    return this.reporter.coordinatorOf(dataCentre);
   }
 
   private tick(): void {
     const {socket, peers} = this.context;
-    for (const sending of this.telling.due(peers())) {
-      const {message, peers} = sending;
-      const what = message.sumOf > 0 ? 'data-centre-load' : 'load';
-      socket.send(encodeLoad(message), peers, what);
+    for (const outgoing of this.reporter.due(peers())) {
+      const {message, peers} = outgoing;
+      const messageType = message.sumOf > 0 ? 'data-centre-load' : 'load';
+      socket.send(encodeLoad(message), peers, messageType);
     }
-    this.noteCoordinator();
+    this.logCoordinatorChange();
   }
 
-  private noteCoordinator(): void {
+  private logCoordinatorChange(): void {
     const id = this.coordinator?.id;
     if (id === this.coordinatorId) return;
     this.coordinatorId = id;
@@ -86,7 +93,7 @@
 
   private receive(datagram: Uint8Array): boolean {
     const message = decodeLoad(datagram);
-    if (message) this.telling.hear(message);
+    if (message) this.reporter.hear(message);
     return message !== undefined;
   }
 }
--- a/packages/gateway/src/lib/connection/load_message.ts
+++ b/packages/gateway/src/lib/connection/load_message.ts
@@ -1,28 +1,42 @@
-/** Requests in flight of a host or of its data centre, as one small datagram. */
+/**
+ * Encodes the in-flight requests of a host, or of its data centre, as a small
+ * datagram.
+ */
 import {hash32} from '@oathead/core';
 import {pack, unpack} from 'msgpackr';
 import {z} from 'zod';
 import type {HostLoad, HostTargetLoad} from '../process/load_table.js';
 
-/** What a datagram says. */
+/** A decoded load report. */
 export interface LoadMessage {
-  /** The sender's run; see `Member.id`. */
+  /** Id of the sending process incarnation; see `Member.id`. */
   readonly host: string;
-  /** The sender's data centre. */
+  /** Data centre of the sender. */
   readonly dataCentre: string;
-  /** Grows with each message of the sender: late ones are dropped. */
+  /**
+   * Increases with each message of a sender. Messages that arrive out of order
+   * are dropped.
+   */
   readonly sequence: number;
-  /** Over how many hosts of the data centre `load` is the sum; 0: it is the
-   * sender's own. */
+  /**
+   * Number of hosts of the data centre that `load` is the sum of; 0 if it is
+   * the sender's own load.
+   */
   readonly sumOf: number;
   readonly load: HostLoad;
 }
 
 const COUNT = z.number().int().nonnegative();
-/** The first field of each message. It changes with the fields: a host of another
- * release is not misread, it counts as idle until it is replaced. */
+/**
+ * Message type and format version, the first field of each message. It changes
+ * whenever the fields change, so that a message of a host with another release
+ * is not misread; such a host counts as idle until it is upgraded.
+ */
 export const LOAD_FORMAT = 3;
-/** Hundreds of numbers a second from each host: one look at each, and no more. */
+/**
+ * Checks the load entries in a single pass, because each host sends hundreds of
+ * numbers a second.
+ */
 const COUNTS = z.custom<readonly number[]>(isCounts);
 const MESSAGE = z.tuple([
   z.literal(LOAD_FORMAT),
@@ -32,28 +46,30 @@
   COUNT,
   COUNTS,
 ]);
-/** A target's entry: its key, online requests, items of batch jobs, and how
- * many of these are nearly done. */
+/**
+ * Number of fields for each target: its key, online requests, batch items, and
+ * how many of the batch items are nearly done.
+ */
 const ENTRY_FIELDS = 4;
 
 /**
- * A target's id is a text of a dozen bytes that stands in each message; its
- * hash has five. Two targets with one hash would share their load, which only
- * makes both look busier.
+ * Shortens a target id for load messages. An id is a string of about a dozen
+ * bytes, which each message would repeat; its hash takes five. Two targets with
+ * the same hash share one load entry, which only makes both look busier.
  *
- * @param targetId - The id of a target.
- * @returns What stands for it in loads.
+ * @param targetId - Id of the target.
+ * @returns The key of the target in load messages and load tables.
  */
 export function targetKey(targetId: string): string {
   return String(hash32(targetId));
 }
 
 /**
- * @param message - What to say.
- * @returns The datagram.
+ * @param message - The load report.
+ * @returns The encoded datagram.
  */
 export function encodeLoad(message: LoadMessage): Uint8Array {
-  const flat = [...message.load].flatMap(
+  const entries = [...message.load].flatMap(
     ([key, {online, batch, nearlyDone = 0}]) => [
       Number(key),
       online,
@@ -62,23 +78,23 @@
     ],
   );
   const {host, dataCentre, sequence, sumOf} = message;
-  return pack([LOAD_FORMAT, host, dataCentre, sequence, sumOf, flat]);
+  return pack([LOAD_FORMAT, host, dataCentre, sequence, sumOf, entries]);
 }
 
 /**
- * @param datagram - From anyone on the network.
- * @returns What it says; undefined when it is no such message.
+ * @param datagram - Untrusted bytes from the network.
+ * @returns The load report; undefined if the datagram is not a valid one.
  */
 export function decodeLoad(datagram: Uint8Array): LoadMessage | undefined {
-  const parsed = MESSAGE.safeParse(unpacked(datagram));
+  const parsed = MESSAGE.safeParse(tryUnpack(datagram));
   if (!parsed.success) return undefined;
-  const [, host, dataCentre, sequence, sumOf, flat] = parsed.data;
+  const [, host, dataCentre, sequence, sumOf, entries] = parsed.data;
   const load = new Map<string, HostTargetLoad>();
-  for (let i = 0; i + ENTRY_FIELDS <= flat.length; i += ENTRY_FIELDS) {
-    load.set(String(flat[i]), {
-      online: flat[i + 1]!,
-      batch: flat[i + 2]!,
-      nearlyDone: flat[i + 3]!,
+  for (let i = 0; i + ENTRY_FIELDS <= entries.length; i += ENTRY_FIELDS) {
+    load.set(String(entries[i]), {
+      online: entries[i + 1]!,
+      batch: entries[i + 2]!,
+      nearlyDone: entries[i + 3]!,
     });
   }
   return {host, dataCentre, sequence, sumOf, load};
@@ -91,11 +107,11 @@
   );
 }
 
-function unpacked(datagram: Uint8Array): unknown {
+function tryUnpack(datagram: Uint8Array): unknown {
   try {
     return unpack(datagram);
   } catch {
-    // Not msgpack: the caller counts it with all other datagrams that say nothing.
+    // Not msgpack. The caller counts it with all other unreadable datagrams.
     return undefined;
   }
 }
--- a/packages/gateway/src/lib/connection/load_pace.ts
+++ b/packages/gateway/src/lib/connection/load_pace.ts
@@ -1,99 +1,112 @@
 /**
- * How often loads are told, and to whom, so that a host's messages stay within a
- * bound however many hosts there are. Hosts of the same data centre share the
- * targets that are used most, so they hear more often than others.
+ * Computes how often a host sends load reports and to which hosts, so that its
+ * message rate stays bounded regardless of the number of hosts. Hosts of the
+ * same data centre share most of their targets, so they are updated more often
+ * than hosts of other data centres.
  *
- * Answers bursts on large fleets: told to each by each, loads of other data centres
- * were as old as a burst is long. Their targets looked free while they filled up,
- * and callers waited there behind others' requests and items. Told for a data centre
- * as one sum, they cost a message for each other data centre in place of one for
- * each of its hosts.
+ * On a large fleet, direct reports from each host to each other host would make
+ * the loads of other data centres as old as a burst is long. Remote targets
+ * would look free while they fill up, and requests would queue there behind
+ * other requests and batch items. A sum for a whole data centre needs one
+ * message for each other data centre instead of one for each of its hosts.
  */
 
-/** How often loads are told. */
-export interface LoadPaceOptions {
-  /** The least time between two messages to a host, in milliseconds. */
+/** Limits for the rate of load reports. */
+export interface LoadRateOptions {
+  /** Minimum interval between two reports to the same host, in milliseconds. */
   readonly periodMs: number;
-  /** Datagrams that one host sends a second at the most. */
+  /** Maximum number of datagrams that one host sends per second. */
   readonly maxDatagramsPerSecond: number;
 }
 
-/** The same, and how data centres tell each other. */
-export interface LoadPlanOptions extends LoadPaceOptions {
-  /** Loads of other data centres are relayed if they would be told to each host
-   * less often than that, in milliseconds. */
+/** Rate limits, and parameters of relaying between data centres. */
+export interface LoadPlanOptions extends LoadRateOptions {
+  /**
+   * Maximum interval of direct reports to other data centres, in milliseconds.
+   * If the rate limit requires a longer interval, a sum for the data centre is
+   * relayed instead.
+   */
   readonly directFarMs: number;
-  /** How often a host tells each other data centre the sum of its own, in ms. */
+  /**
+   * Interval at which a host sends the sum of its data centre to each other
+   * data centre, in milliseconds.
+   */
   readonly relayMs: number;
 }
 
-/** How a host tells loads. */
+/** How a host distributes load reports. */
 export type LoadPlan =
-  /** Its own load, to each other host. */
-  | ({readonly kind: 'direct'} & LoadSpacing)
-  /** Its own load to hosts of its data centre; to one host of each other one the
-   * sum over its data centre. */
+  /** Sends its own load to each other host. */
+  | ({readonly kind: 'direct'} & LoadIntervals)
+  /**
+   * Sends its own load to the hosts of its data centre, and the sum for its
+   * data centre to one host of each other data centre.
+   */
   | {
       readonly kind: 'relayed';
       readonly nearMs: number;
       readonly relayMs: number;
     };
 
-/** Least times between two messages to a host, in milliseconds. */
-export interface LoadSpacing {
-  /** To hosts of the same data centre. */
+/** Minimum intervals between two reports to the same host, in milliseconds. */
+export interface LoadIntervals {
+  /** Interval for hosts of the same data centre. */
   readonly nearMs: number;
   readonly farMs: number;
 }
 
-/** Of what a host may send, so much goes to its own data centre at the most. */
-const NEAR_SHARE = 0.8;
+/** Maximum share of the datagram rate that is used for the own data centre. */
+const MAX_LOCAL_SHARE = 0.8;
 const MS_PER_SECOND = 1000;
 
 /**
- * @param near - How many hosts the own data centre has beside this one.
- * @param far - How many hosts the other data centres have.
- * @param options - The bound, and the least time.
- * @returns How far apart messages are.
+ * @param localHosts - Number of other hosts in the own data centre.
+ * @param remoteHosts - Number of hosts in all other data centres.
+ * @param options - Rate limit and minimum interval.
+ * @returns Report intervals that stay within the rate limit.
  */
-export function loadSpacing(
-  near: number,
-  far: number,
-  {periodMs, maxDatagramsPerSecond}: LoadPaceOptions,
-): LoadSpacing {
-  const all = spacingMs(near + far, maxDatagramsPerSecond);
-  if (all <= periodMs) return {nearMs: periodMs, farMs: periodMs};
-  const forNear = far === 0 ? 1 : NEAR_SHARE;
+export function loadIntervals(
+  localHosts: number,
+  remoteHosts: number,
+  {periodMs, maxDatagramsPerSecond}: LoadRateOptions,
+): LoadIntervals {
+  const uniformMs = intervalMs(localHosts + remoteHosts, maxDatagramsPerSecond);
+  if (uniformMs <= periodMs) return {nearMs: periodMs, farMs: periodMs};
+  const localShare = remoteHosts === 0 ? 1 : MAX_LOCAL_SHARE;
   const nearMs = Math.max(
     periodMs,
-    spacingMs(near, maxDatagramsPerSecond * forNear),
+    intervalMs(localHosts, maxDatagramsPerSecond * localShare),
   );
-  const used = (near * MS_PER_SECOND) / nearMs;
-  return {nearMs, farMs: spacingMs(far, maxDatagramsPerSecond - used)};
+  const localRate = (localHosts * MS_PER_SECOND) / nearMs;
+  return {
+    nearMs,
+    farMs: intervalMs(remoteHosts, maxDatagramsPerSecond - localRate),
+  };
 }
 
 /**
- * @param near - How many hosts the own data centre has beside this one.
- * @param far - How many hosts the other data centres have.
- * @param dataCentres - How many other data centres have hosts.
- * @param options - The bound, and the least times.
- * @returns How loads are told: relayed as soon as that is quicker.
+ * @param localHosts - Number of other hosts in the own data centre.
+ * @param remoteHosts - Number of hosts in all other data centres.
+ * @param remoteDataCentres - Number of other data centres that have hosts.
+ * @param options - Rate limit and intervals.
+ * @returns The distribution to use: direct, or relayed where direct reports to
+ *     other data centres would be too infrequent.
  */
 export function loadPlan(
-  near: number,
-  far: number,
-  dataCentres: number,
+  localHosts: number,
+  remoteHosts: number,
+  remoteDataCentres: number,
   options: LoadPlanOptions,
 ): LoadPlan {
-  const spacing = loadSpacing(near, far, options);
+  const intervals = loadIntervals(localHosts, remoteHosts, options);
   const {periodMs, maxDatagramsPerSecond, directFarMs, relayMs} = options;
-  if (far === 0 || spacing.farMs <= directFarMs)
-    return {kind: 'direct', ...spacing};
-  const relays = (dataCentres * MS_PER_SECOND) / relayMs;
-  const nearMs = spacingMs(near, maxDatagramsPerSecond - relays);
+  if (remoteHosts === 0 || intervals.farMs <= directFarMs)
+    return {kind: 'direct', ...intervals};
+  const relayRate = (remoteDataCentres * MS_PER_SECOND) / relayMs;
+  const nearMs = intervalMs(localHosts, maxDatagramsPerSecond - relayRate);
   return {kind: 'relayed', nearMs: Math.max(periodMs, nearMs), relayMs};
 }
 
-function spacingMs(hosts: number, perSecond: number): number {
+function intervalMs(hosts: number, perSecond: number): number {
   return (hosts * MS_PER_SECOND) / perSecond;
 }
--- a/packages/gateway/src/lib/connection/placement_exchange.ts
+++ b/packages/gateway/src/lib/connection/placement_exchange.ts
@@ -1,4 +1,4 @@
-/** Carries questions for places, and their answers, between hosts. */
+/** Carries placement requests and their replies between hosts. */
 import {Placement, type PlacementContext} from '../process/placement.js';
 import type {HostSocket} from './host_socket.js';
 import type {HostPeer} from './load_exchange.js';
@@ -10,8 +10,10 @@
 
 /**
  * @param socket - Sends and receives the datagrams.
- * @param context - Whom to ask, and the own view.
- * @returns The placement of this host, which answers others, too.
+ * @param context - The coordinators to ask, and this host's own view of the
+ *     load.
+ * @returns The placement of this host, which also replies to requests of other
+ *     hosts.
  */
 export function placementOver(
   socket: HostSocket,
@@ -22,7 +24,7 @@
     send: (message, to) =>
       socket.send(encodePlacement(message), [to], message.kind),
   });
-  socket.on(PLACEMENT_FORMAT, datagram => {
+  socket.setHandler(PLACEMENT_FORMAT, datagram => {
     const message = decodePlacement(datagram);
     if (message) placement.hear(message);
     return message !== undefined;
--- a/packages/gateway/src/lib/connection/placement_message.ts
+++ b/packages/gateway/src/lib/connection/placement_message.ts
@@ -1,82 +1,96 @@
-/** How hosts ask the coordinator of their data centre for places, as datagrams. */
+/**
+ * Datagrams with which hosts request slots from the coordinator of a data
+ * centre.
+ */
 import {pack, unpack} from 'msgpackr';
 import {z} from 'zod';
 
-/** The first number of these datagrams; see `host_socket.ts`. It changes with the
- * fields, so that a host of another release is not misread. */
+/**
+ * Message type and format version, the first field of each datagram; see
+ * `host_socket.ts`. It changes whenever the fields change, so that a message of
+ * a host with another release is not misread.
+ */
 export const PLACEMENT_FORMAT = 12;
 
 const COUNT = z.number().int().nonnegative();
 
-/** What a place is for. */
-const WISH = z.discriminatedUnion('lane', [
+/** Requirements on the slot that is requested. */
+const CRITERIA = z.discriminatedUnion('lane', [
   z.object({
     lane: z.literal('online'),
-    /** See `WaitDemand`. */
+    /** Latency objective and priority; see `WaitDemand`. */
     demand: z.object({
       goalMs: z.number(),
       priority: COUNT,
       returning: z.boolean(),
     }),
-    /** Whether only targets of the data centre of who is asked will do. */
+    /**
+     * Whether the target must be in the data centre of the host that is asked.
+     */
     near: z.boolean(),
   }),
   z.object({
     lane: z.literal('batch'),
-    /** Whether the item is due soon. */
+    /** How urgent the item is. */
     pressure: z.enum(['relaxed', 'pressed']),
   }),
 ]);
 
-/** A place is asked for. */
-const ASK = z.object({
+/** Requests a slot. */
+const REQUEST = z.object({
   kind: z.literal('ask'),
-  /** The run of the process that asks. */
+  /** Id of the process incarnation that sends the request. */
   host: z.string(),
-  /** Names the question to the host that asks. */
+  /** Identifies the request to its sender; the reply repeats it. */
   askId: COUNT,
   service: z.string(),
-  wish: WISH,
-  /** Targets by id that are out of the question: they have just failed the host. */
+  wish: CRITERIA,
+  /**
+   * Ids of targets that must not be chosen, because they just failed a request
+   * of this host.
+   */
   excluded: z.array(z.string()).readonly(),
 });
 
-/** The answer to a question. */
+/** Reply to a placement request. */
 const GRANT = z.object({
   kind: z.literal('grant'),
   askId: COUNT,
-  /** Undefined: none has room now. */
+  /** Id of the granted target; undefined if none has a free slot. */
   targetId: z.string().optional(),
 });
 
-/** Items of batch jobs have to end, since an online request takes their place. */
-const YIELD = z.object({
+/**
+ * Tells a host to preempt batch items at a target, because an online request
+ * takes their slots.
+ */
+const PREEMPTION = z.object({
   kind: z.literal('yield'),
   targetId: z.string(),
   items: COUNT,
 });
 
-const MESSAGE = z.discriminatedUnion('kind', [ASK, GRANT, YIELD]);
+const MESSAGE = z.discriminatedUnion('kind', [REQUEST, GRANT, PREEMPTION]);
 const DATAGRAM = z.tuple([z.literal(PLACEMENT_FORMAT), MESSAGE]);
 
-/** What a place is for. */
-export type PlaceWish = Readonly<z.infer<typeof WISH>>;
-/** A place is asked for. */
-export type PlaceAsk = Readonly<z.infer<typeof ASK>>;
-/** What hosts say to each other of places. */
+/** Requirements on the slot that is requested. */
+export type PlaceWish = Readonly<z.infer<typeof CRITERIA>>;
+/** Requests a slot. */
+export type PlaceAsk = Readonly<z.infer<typeof REQUEST>>;
+/** All messages about placement. */
 export type PlacementMessage = Readonly<z.infer<typeof MESSAGE>>;
 
 /**
- * @param message - What to say.
- * @returns The datagram.
+ * @param message - The message.
+ * @returns The encoded datagram.
  */
 export function encodePlacement(message: PlacementMessage): Uint8Array {
   return pack([PLACEMENT_FORMAT, message]);
 }
 
 /**
- * @param datagram - From anyone on the network.
- * @returns What it says; undefined when it is no such message.
+ * @param datagram - Untrusted bytes from the network.
+ * @returns The message; undefined if the datagram is not a valid one.
  */
 export function decodePlacement(
   datagram: Uint8Array,
@@ -84,7 +98,7 @@
   try {
     return DATAGRAM.safeParse(unpack(datagram)).data?.[1];
   } catch {
-    // Not msgpack: the caller counts it with all other datagrams that say nothing.
+    // Not msgpack. The caller counts it with all other unreadable datagrams.
     return undefined;
   }
 }
--- a/packages/gateway/src/lib/connection/quota_exchange.ts
+++ b/packages/gateway/src/lib/connection/quota_exchange.ts
@@ -1,4 +1,4 @@
-/** Carries questions about quotas, and their answers, between hosts. */
+/** Carries quota requests and their replies between hosts. */
 import {
   AccountQuotas,
   type AccountQuotasContext,
@@ -8,8 +8,9 @@
 
 /**
  * @param socket - Sends and receives the datagrams.
- * @param context - The live hosts, and how exactly quotas are kept.
- * @returns The quotas of this host, which answers others, too.
+ * @param context - The live hosts, the quotas and their tolerance.
+ * @returns The account quotas of this host, which also reply to requests of
+ *     other hosts.
  */
 export function quotasOver(
   socket: HostSocket,
@@ -20,7 +21,7 @@
     send: (message, to) =>
       socket.send(encodeQuota(message), [to], `quota-${message.kind}`),
   });
-  socket.on(QUOTA_FORMAT, datagram => {
+  socket.setHandler(QUOTA_FORMAT, datagram => {
     const message = decodeQuota(datagram);
     if (message) quotas.hear(message);
     return message !== undefined;
--- a/packages/gateway/src/lib/connection/quota_message.ts
+++ b/packages/gateway/src/lib/connection/quota_message.ts
@@ -1,66 +1,75 @@
-/** How hosts ask each other whether a request is within its account's quota. */
+/**
+ * Datagrams with which hosts ask the quota owner of an account whether a
+ * request is within the quota.
+ */
 import {pack, unpack} from 'msgpackr';
 import {z} from 'zod';
 
-/** The first number of these datagrams; see `host_socket.ts`. It changes with the
- * fields, so that a host of another release is not misread. */
+/**
+ * Message type and format version, the first field of each datagram; see
+ * `host_socket.ts`. It changes whenever the fields change, so that a message of
+ * a host with another release is not misread.
+ */
 export const QUOTA_FORMAT = 11;
 
 const COUNT = z.number().int().nonnegative();
 
-/** May one more request of an account run? */
-const ASK = z.object({
+/** Asks whether one more request of an account may run. */
+const REQUEST = z.object({
   kind: z.literal('ask'),
-  /** The run of the process that asks. */
+  /** Id of the process incarnation that sends the request. */
   host: z.string(),
-  /** Names the question to the host that asks. */
+  /** Identifies the request to its sender; the reply repeats it. */
   askId: COUNT,
   account: z.string(),
 });
 
-/** The answer to a question. */
-const ANSWER = z.object({
+/** Reply to a quota request. */
+const REPLY = z.object({
   kind: z.literal('answer'),
   askId: COUNT,
-  /** `elsewhere`: by its own list of hosts another one counts the account. */
+  /**
+   * `elsewhere`: in the host list of the replying host, another host is the
+   * quota owner of the account.
+   */
   verdict: z.enum(['granted', 'over', 'elsewhere']),
-  /** When there is room, in milliseconds from now. */
+  /** Time until the quota allows another request, in milliseconds. */
   waitMs: COUNT,
 });
 
-/** A request that was granted did not run. */
-const GIVE_BACK = z.object({
+/** Refunds a granted request that did not run. */
+const REFUND = z.object({
   kind: z.literal('give-back'),
   account: z.string(),
 });
 
-const MESSAGE = z.discriminatedUnion('kind', [ASK, ANSWER, GIVE_BACK]);
+const MESSAGE = z.discriminatedUnion('kind', [REQUEST, REPLY, REFUND]);
 const DATAGRAM = z.tuple([z.literal(QUOTA_FORMAT), MESSAGE]);
 
-/** May one more request of an account run? */
-export type QuotaAsk = Readonly<z.infer<typeof ASK>>;
-/** The answer to a question. */
-export type QuotaAnswer = Readonly<z.infer<typeof ANSWER>>;
-/** What hosts say to each other of quotas. */
+/** Asks whether one more request of an account may run. */
+export type QuotaAsk = Readonly<z.infer<typeof REQUEST>>;
+/** Reply to a quota request. */
+export type QuotaAnswer = Readonly<z.infer<typeof REPLY>>;
+/** All messages about quotas. */
 export type QuotaMessage = Readonly<z.infer<typeof MESSAGE>>;
 
 /**
- * @param message - What to say.
- * @returns The datagram.
+ * @param message - The message.
+ * @returns The encoded datagram.
  */
 export function encodeQuota(message: QuotaMessage): Uint8Array {
   return pack([QUOTA_FORMAT, message]);
 }
 
 /**
- * @param datagram - From anyone on the network.
- * @returns What it says; undefined when it is no such message.
+ * @param datagram - Untrusted bytes from the network.
+ * @returns The message; undefined if the datagram is not a valid one.
  */
 export function decodeQuota(datagram: Uint8Array): QuotaMessage | undefined {
   try {
     return DATAGRAM.safeParse(unpack(datagram)).data?.[1];
   } catch {
-    // Not msgpack: the caller counts it with all other datagrams that say nothing.
+    // Not msgpack. The caller counts it with all other unreadable datagrams.
     return undefined;
   }
 }
--- a/packages/gateway/src/lib/connection/target.ts
+++ b/packages/gateway/src/lib/connection/target.ts
@@ -1,21 +1,33 @@
-/** One run of a target's server, as the list of targets describes it. */
+/** One incarnation of a target server, as the list of targets describes it. */
 
 /** A target that requests can be sent to. */
 export interface Target {
-  /** Names this run of the server: what is kept by it (connections, load, health,
-   * suspensions) never counts for a later run. */
+  /**
+   * Identifies this incarnation of the server. Connections, load, health and
+   * suspensions are kept by this id, so that they never apply to a later
+   * incarnation.
+   */
   readonly id: string;
-  /** The id under which the server lists itself. A later run may have it again. */
+  /**
+   * Id under which the server registers itself. A later incarnation may use the
+   * same id.
+   */
   readonly serverId: string;
-  /** When this run began, on the server's time of day in Unix milliseconds;
-   * undefined: it says nothing of it, and has a new `serverId` at each start. */
+  /**
+   * When this incarnation started, by the server's wall clock in Unix
+   * milliseconds; undefined if the server does not report it. Such a server has
+   * a new `serverId` after each start.
+   */
   readonly startedAtMs: number | undefined;
   readonly service: string;
   /** IP address and port. */
   readonly address: string;
   readonly dataCentre: string;
-  /** How many requests it runs at once. */
+  /** Maximum number of requests that the target runs concurrently. */
   readonly slots: number;
-  /** A leaving target finishes what it has and gets nothing new. */
+  /**
+   * Whether the target is draining: it finishes its current requests and is
+   * sent no new ones.
+   */
   readonly leaving: boolean;
 }
--- a/packages/gateway/src/lib/connection/target_connection.ts
+++ b/packages/gateway/src/lib/connection/target_connection.ts
@@ -1,27 +1,31 @@
 /**
- * One connection to a target, with what undici does not tell of it: whether it
- * was made, and whether the other end reset it.
+ * One connection to a target, with state that undici does not expose: whether
+ * the connection was established, and whether the peer reset it.
  */
 import type {Socket} from 'node:net';
 import {buildConnector, Client, errors} from 'undici';
 
 /** Timeouts of a connection to a target. */
 export interface ConnectionTimeouts {
-  /** How long a connection may take to be made, in milliseconds. */
+  /** Timeout for establishing the connection, in milliseconds. */
   readonly connectMs: number;
-  /** How long it may stay unused when the target names no time, in ms. */
+  /** Idle timeout if the target announces none, in milliseconds. */
   readonly idleMs: number;
-  /** How much sooner than the target's own time it is given up, in ms. */
+  /**
+   * How long before the idle timeout that the target announces the connection
+   * is closed, in milliseconds.
+   */
   readonly idleMarginMs: number;
 }
 
 /**
- * A connection inside a data centre or between near ones is made within a few
- * milliseconds. A lost first packet is sent again after a second, later than it
- * takes to go elsewhere: nothing was sent yet. With 1200 ms a request to a target
- * that had gone dark knew of it after 1516 ms, as undici's own timeouts are coarse (one
- * request to a listener that takes no connections). A target's own idle time has
- * whole seconds, and one without a hint may be short.
+ * A connection within a data centre or between nearby ones is established
+ * within a few milliseconds. A lost first packet is retransmitted only after a
+ * second; it is faster to use another target, since nothing has been sent yet.
+ * undici's own timeouts are coarse: with 1200 ms, a request to a listener that
+ * accepts no connections failed only after 1516 ms. Targets announce their idle
+ * timeout in whole seconds, and a target that announces none may use a short
+ * one.
  */
 export const DEFAULT_CONNECTION_TIMEOUTS: ConnectionTimeouts = {
   connectMs: 400,
@@ -29,21 +33,24 @@
   idleMarginMs: 400,
 };
 
-/** Idle time before the system probes a connection, in milliseconds: the
- * smallest that can be set, so that a silent connection ends by itself. */
+/**
+ * Idle time before the operating system sends keep-alive probes, in
+ * milliseconds. This is the smallest value that can be set, so that it closes
+ * unresponsive connections early.
+ */
 const KEEP_ALIVE_PROBE_MS = 1000;
 
 /** A connection that carries one request at a time. */
 export class TargetConnection implements Disposable {
-  /** Sends the requests; it holds this one connection. */
+  /** Sends the requests; limited to this one connection. */
   readonly client: Client;
   private socket: Socket | undefined;
-  private reset = false;
+  private peerReset = false;
   private lost = false;
 
   /**
    * @param address - IP address and port of the target.
-   * @param timeouts - How long it may take and stay unused.
+   * @param timeouts - Connect and idle timeouts.
    */
   constructor(address: string, timeouts: ConnectionTimeouts) {
     const connect = buildConnector({
@@ -58,14 +65,14 @@
       keepAliveTimeout: timeouts.idleMs,
       keepAliveTimeoutThreshold: timeouts.idleMarginMs,
       connect: (options, callback) => {
-        const late = setTimeout(
+        const connectTimer = setTimeout(
           () => void this.client.destroy(new errors.ConnectTimeoutError()),
           timeouts.connectMs,
         );
-        connect(options, (...made) => {
-          clearTimeout(late);
-          if (made[1]) this.watch(made[1] as Socket);
-          callback(...made);
+        connect(options, (...result) => {
+          clearTimeout(connectTimer);
+          if (result[1]) this.observeSocket(result[1] as Socket);
+          callback(...result);
         });
       },
     });
@@ -74,17 +81,18 @@
     });
   }
 
-  /** Whether the connection was ever made. */
-  get connected(): boolean {
+  /** Whether the connection was ever established. */
+  get wasConnected(): boolean {
     return this.socket !== undefined;
   }
 
   /**
-   * Whether another request can be sent on it at once.
+   * Whether another request can be sent immediately.
    *
-   * Guards against a request that waits behind the rest of an earlier one: a
-   * target may answer a long request before it has read it, and read on slowly
-   * or not at all. undici takes a body for sent once the socket holds it.
+   * A target may respond to a long request before it has read all of it, and
+   * read the rest slowly or not at all. The next request would then wait behind
+   * the unsent bytes. undici considers a body sent once the socket has buffered
+   * it, so the buffer of the socket is checked here.
    */
   get usable(): boolean {
     const unsent = this.socket?.writableLength ?? 0;
@@ -92,25 +100,28 @@
   }
 
   /**
-   * Whether the other end reset the connection. undici takes a reset for the
-   * end of an answer that has no length, but such an answer may be cut short;
-   * only an orderly close ends it whole.
+   * Whether the peer reset the connection. For a response without a content
+   * length, undici treats a reset as the end of the body, but such a response
+   * may be truncated; only an orderly close marks its end.
    */
   get wasReset(): boolean {
-    return this.reset;
+    return this.peerReset;
   }
 
-  /** Closes the connection at once; the target sees it and stops its work. */
+  /**
+   * Closes the connection immediately, so that the target can cancel the
+   * request.
+   */
   [Symbol.dispose](): void {
     this.lost = true;
     void this.client.destroy();
   }
 
-  private watch(socket: Socket): void {
+  private observeSocket(socket: Socket): void {
     this.socket = socket;
-    // Added before undici's own listener, and so called before it.
+    // Registered before undici's own listener, so that it is called first.
     socket.on('error', () => {
-      this.reset = true;
+      this.peerReset = true;
     });
   }
 }
--- a/packages/gateway/src/lib/request/admitted_request.ts
+++ b/packages/gateway/src/lib/request/admitted_request.ts
@@ -1,18 +1,21 @@
-/** A caller's request that was admitted. */
+/** A request of a caller that passed admission. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {ClientAccount} from '@oathead/core';
 import type {Route} from '../version/routing_table.js';
 
-/** A request, and what was found out of it. */
+/** An admitted request with its route and account. */
 export interface AdmittedRequest {
   readonly req: IncomingMessage;
-  /** Where its answer goes. */
+  /** The response to the caller. */
   readonly res: ServerResponse;
   readonly route: Route;
-  /** The caller's body, whole. */
+  /** The complete request body. */
   readonly body: Buffer;
-  /** When its head had come, on the steady clock. */
+  /**
+   * When the request headers were received, on the monotonic clock, in
+   * milliseconds.
+   */
   readonly startedAt: number;
-  /** Whose request it is. */
+  /** The account of the caller; undefined if it sent no key. */
   readonly account: ClientAccount | undefined;
 }
--- a/packages/gateway/src/lib/request/exchange.ts
+++ b/packages/gateway/src/lib/request/exchange.ts
@@ -1,7 +1,8 @@
 /**
- * One request on one connection to a target, and what came of it. Answers that
- * are not the target's whole answer to this very request never get out: those
- * of another request, without seal, in an unasked coding, cut or reset.
+ * One request on one connection to a target, and its outcome. Only a complete
+ * response of the target to this request is passed on. Rejected are responses
+ * to another request, successes without a seal, bodies in an encoding that was
+ * not requested, and responses that were truncated or reset.
  */
 import type {IncomingHttpHeaders} from 'node:http';
 import {errors, type Dispatcher} from 'undici';
@@ -9,7 +10,7 @@
 import {EventSplitter, type StreamEvent} from './stream_events.js';
 import type {AnswerFacts, Headers, TargetProtocol} from './target_protocol.js';
 
-/** What is sent to a target. */
+/** The request that is sent to a target. */
 export interface TargetRequest {
   readonly requestId: string | undefined;
   readonly method: string;
@@ -17,110 +18,123 @@
   readonly path: string;
   readonly headers: Headers;
   readonly body: Buffer;
-  /** The number of the first event of a stream; undefined: unknown. */
+  /**
+   * Number that the first event of a stream must have; undefined if unknown.
+   */
   readonly firstEventId: number | undefined;
 }
 
-/** Takes the events of a stream as they come. */
+/** Receives the events of a stream as they arrive. */
 export interface EventSink {
   /**
-   * @param events - The next events, whole and in order.
-   * @param head - The head of the answer they belong to.
-   * @returns Whether more are wanted now; if not, `resume` is called later.
+   * @param events - The next complete events, in order.
+   * @param head - Status and headers of the response that the events belong to.
+   * @returns Whether more events can be accepted now. If not, `resume` is
+   *     called later.
    */
   events(events: readonly StreamEvent[], head: AnswerHead): boolean;
-  /** @param resume - To be called when more events are wanted. */
+  /** @param resume - To be called once when more events can be accepted. */
   paused(resume: () => void): void;
 }
 
-/** Status and headers of an answer. */
+/** Status and headers of a response. */
 export interface AnswerHead {
   readonly status: number;
   readonly headers: IncomingHttpHeaders;
 }
 
-/** All of an answer. */
-export interface WholeAnswer {
+/** A response with its complete body. */
+export interface CompleteResponse {
   readonly head: AnswerHead;
   readonly body: Buffer;
 }
 
-/** Why a request was ended from this side. */
-export type EndedBy =
+/** Why the gateway aborted a request. */
+export type AbortReason =
   | 'caller-left'
   | 'timeout'
   | 'yield'
   | 'stop'
-  /** Nothing came from the target for too long. */
+  /** The target sent nothing for longer than the silence timeout. */
   | 'silent'
-  /** The target's server runs anew and knows nothing of the request. */
+  /** The target server was restarted and has lost the request. */
   | 'restarted';
 
-/** What came of a request at a target. */
+/** Outcome of a request at a target. */
 export type ExchangeEnd =
-  /** The target's whole answer. */
-  | ({readonly kind: 'answered'} & WholeAnswer)
-  /** A stream, to its end; its events went to the sink. */
+  /** The target sent a complete response. */
+  | ({readonly kind: 'answered'} & CompleteResponse)
+  /** A stream was received to its end; the sink received its events. */
   | {readonly kind: 'streamed'; readonly head: AnswerHead}
-  /** The target says that it did not run the request. */
+  /** The target reported that it did not run the request. */
   | {readonly kind: 'declined'; readonly status: number}
-  /** No connection could be made: it can't have run. */
+  /** No connection could be established, so the request cannot have run. */
   | {readonly kind: 'unsent'; readonly reason: string}
-  /** It may have run. */
+  /** The response was invalid or incomplete; the request may have run. */
   | {
       readonly kind: 'broken';
       readonly reason: string;
-      /** Whether the target sent what is not its answer: it lives. */
-      readonly targetSpoke: boolean;
+      /** Whether the target sent invalid data, which shows that it is alive. */
+      readonly sentInvalidData: boolean;
     }
-  /** It was ended from this side and may have run. */
-  | {readonly kind: 'ended'; readonly by: EndedBy};
+  /** The gateway aborted the request; it may have run. */
+  | {readonly kind: 'ended'; readonly by: AbortReason};
 
-/** Answers larger than this are no answers of ours, in bytes: twice the largest
- * body that callers may send by default. */
-const MAX_ANSWER_BYTES = 8 * 1024 * 1024;
+/**
+ * Maximum size of a buffered response body, in bytes: twice the default limit
+ * for request bodies.
+ */
+const MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
 
-/** Ends a request from this side. */
+/** Controls a request in flight. */
 export interface ExchangeControl {
-  /** @param by - Why; the target sees its connection closed. */
-  end(by: EndedBy): void;
-  /** Milliseconds since the last byte came, or since it was sent. */
+  /**
+   * Aborts the request. The target sees its connection closed.
+   *
+   * @param by - Why the request is aborted.
+   */
+  end(by: AbortReason): void;
+  /**
+   * @param now - The current time on the monotonic clock, in milliseconds.
+   * @returns Milliseconds since the target last sent data, or since the request
+   *     was sent.
+   */
   silentMs(now: number): number;
 }
 
-/** What an exchange needs beside its request. */
+/** Dependencies of an {@link Exchange}. */
 export interface ExchangeContext {
-  /** Reads the answer's head. */
+  /** Interprets the response headers. */
   readonly protocol: TargetProtocol;
-  /** Takes the events of a stream. */
+  /** Receives the events of a stream. */
   readonly sink: EventSink;
-  /** A steady clock, in milliseconds. */
+  /** Monotonic clock, in milliseconds. */
   readonly now: () => number;
-  /** Called whenever something comes from the target. */
-  readonly onHeard: () => void;
+  /** Called whenever data is received from the target. */
+  readonly onActivity: () => void;
 }
 
-/** A request that is under way at a target. */
+/** A request in flight at a target. */
 export class Exchange implements ExchangeControl, Dispatcher.DispatchHandler {
   private readonly splitter = new EventSplitter();
   private readonly chunks: Buffer[] = [];
   private bytes = 0;
   private head: AnswerHead | undefined;
-  private facts: AnswerFacts | undefined;
+  private metadata: AnswerFacts | undefined;
   private nextEventId: number | undefined;
   private settled = false;
   private readonly startedAt: number;
-  private heardAt: number;
-  private firstByte: number | undefined;
-  private settle!: (end: ExchangeEnd) => void;
+  private lastActivityAt: number;
+  private headAfterMs: number | undefined;
+  private resolveOutcome!: (end: ExchangeEnd) => void;
 
-  /** What came of it; never rejects. */
-  readonly end$: Promise<ExchangeEnd>;
+  /** The outcome; never rejects. */
+  readonly outcome$: Promise<ExchangeEnd>;
 
   /**
    * @param connection - A connection with no request on it.
-   * @param req - What is sent.
-   * @param context - Who reads the answer, and the time.
+   * @param req - The request.
+   * @param context - Protocol, event sink and clock.
    */
   constructor(
     private readonly connection: TargetConnection,
@@ -128,10 +142,10 @@
     private readonly context: ExchangeContext,
   ) {
     this.startedAt = context.now();
-    this.heardAt = this.startedAt;
+    this.lastActivityAt = this.startedAt;
     this.nextEventId = req.firstEventId;
-    this.end$ = new Promise(resolve => {
-      this.settle = resolve;
+    this.outcome$ = new Promise(resolve => {
+      this.resolveOutcome = resolve;
     });
   }
 
@@ -143,8 +157,8 @@
       path,
       headers: headers as Record<string, string | string[]>,
       body: body.length > 0 ? body : undefined,
-      // undici would otherwise hold back what follows a request that it takes
-      // for one with side effects.
+      // undici would otherwise hold back further requests on the connection,
+      // because it assumes that this one has side effects.
       idempotent: true,
       blocking: false,
     };
@@ -156,111 +170,120 @@
   }
 
   /** {@inheritDoc ExchangeControl.end} */
-  end(by: EndedBy): void {
+  end(by: AbortReason): void {
     this.finish({kind: 'ended', by});
   }
 
   /** {@inheritDoc ExchangeControl.silentMs} */
   silentMs(now: number): number {
-    return now - this.heardAt;
+    return now - this.lastActivityAt;
   }
 
-  /** Until the head of the answer came, in milliseconds; undefined: not yet. */
+  /**
+   * Time from the request to the response headers, in milliseconds; undefined
+   * until they are received.
+   */
   get firstByteMs(): number | undefined {
-    return this.firstByte;
+    return this.headAfterMs;
   }
 
-  /** Whether all of the answer came and the connection can be used again. */
-  get leavesConnectionUsable(): boolean {
+  /** Whether the response is complete and the connection can be reused. */
+  get isConnectionReusable(): boolean {
     return this.settled && this.connection.usable;
   }
 
-  /** Called by undici when the request is taken up. */
+  /**
+   * Called by undici when the request is started. Required by the interface.
+   */
   onRequestStart(): void {}
 
-  /** Called by undici with the head of the answer. */
+  /** Called by undici with the status and headers of the response. */
   onResponseStart(
     ...[, status, headers]: Parameters<
       NonNullable<Dispatcher.DispatchHandler['onResponseStart']>
     >
   ): void {
     if (this.settled || status < 200) return;
-    this.heardAt = this.context.now();
-    this.firstByte = this.heardAt - this.startedAt;
-    this.context.onHeard();
+    this.lastActivityAt = this.context.now();
+    this.headAfterMs = this.lastActivityAt - this.startedAt;
+    this.context.onActivity();
     this.head = {status, headers};
-    this.facts = this.context.protocol.readAnswer(status, headers);
-    const flaw = this.flawOfHead(this.facts, status);
-    if (flaw) this.spoilt(flaw);
+    this.metadata = this.context.protocol.readAnswer(status, headers);
+    const error = this.headError(this.metadata, status);
+    if (error) this.failInvalid(error);
   }
 
-  /** Called by undici with bytes of the body. */
+  /** Called by undici with a chunk of the body. */
   onResponseData(
     controller: Dispatcher.DispatchController,
     chunk: Buffer,
   ): void {
     if (this.settled) return;
-    this.heardAt = this.context.now();
-    this.context.onHeard();
-    if (this.streams()) this.pass(controller, chunk);
-    else this.collect(chunk);
+    this.lastActivityAt = this.context.now();
+    this.context.onActivity();
+    if (this.isEventStream()) this.forwardEvents(controller, chunk);
+    else this.bufferChunk(chunk);
   }
 
-  /** Called by undici at the end of the answer. */
+  /** Called by undici at the end of the response. */
   onResponseEnd(): void {
     if (this.settled) return;
     if (this.connection.wasReset) {
-      this.lost('reset during the answer');
+      this.failDisconnected('reset during the answer');
       return;
     }
-    if (this.facts!.notRun) {
+    if (this.metadata!.notRun) {
       this.finish({kind: 'declined', status: this.head!.status}, true);
       return;
     }
-    if (!this.streams()) {
+    if (!this.isEventStream()) {
       const body = Buffer.concat(this.chunks);
       this.finish({kind: 'answered', head: this.head!, body}, true);
       return;
     }
-    if (this.splitter.hasPartialEvent) this.lost('ended inside an event');
+    if (this.splitter.hasPartialEvent)
+      this.failDisconnected('ended inside an event');
     else this.finish({kind: 'streamed', head: this.head!}, true);
   }
 
-  /** Called by undici when there will be no whole answer. */
+  /** Called by undici when the response cannot be completed. */
   onResponseError(
     ...[, err]: Parameters<
       NonNullable<Dispatcher.DispatchHandler['onResponseError']>
     >
   ): void {
     const reason = reasonOf(err);
-    if (!this.connection.connected) this.finish({kind: 'unsent', reason});
-    else if (err instanceof errors.HTTPParserError) this.spoilt(reason);
-    else this.lost(reason);
+    if (!this.connection.wasConnected) this.finish({kind: 'unsent', reason});
+    else if (err instanceof errors.HTTPParserError) this.failInvalid(reason);
+    else this.failDisconnected(reason);
   }
 
-  private streams(): boolean {
-    return this.facts!.eventStream && this.head!.status === 200;
+  private isEventStream(): boolean {
+    return this.metadata!.eventStream && this.head!.status === 200;
   }
 
-  private flawOfHead(facts: AnswerFacts, status: number): string | undefined {
-    if (facts.notRun) return undefined;
+  private headError(metadata: AnswerFacts, status: number): string | undefined {
+    if (metadata.notRun) return undefined;
     const {requestId} = this.req;
-    if (facts.requestId !== undefined && facts.requestId !== requestId)
+    if (metadata.requestId !== undefined && metadata.requestId !== requestId)
       return 'answer to another request';
     const success = status >= 200 && status < 300;
     if (!success) return undefined;
-    if (facts.requestId === undefined) return 'answer without a request id';
-    if (!facts.sealed) return 'success without a seal';
-    if (facts.encoded) return 'body in an unasked coding';
+    if (metadata.requestId === undefined) return 'answer without a request id';
+    if (!metadata.sealed) return 'success without a seal';
+    if (metadata.encoded) return 'body in an unasked coding';
     return undefined;
   }
 
-  private pass(controller: Dispatcher.DispatchController, chunk: Buffer): void {
+  private forwardEvents(
+    controller: Dispatcher.DispatchController,
+    chunk: Buffer,
+  ): void {
     const events = this.splitter.push(chunk);
     if (events.length === 0) return;
-    const flaw = this.flawOfOrder(events);
-    if (flaw) {
-      this.spoilt(flaw);
+    const error = this.eventOrderError(events);
+    if (error) {
+      this.failInvalid(error);
       return;
     }
     if (this.context.sink.events(events, this.head!)) return;
@@ -268,8 +291,8 @@
     this.context.sink.paused(() => controller.resume());
   }
 
-  /** A stream whose events are not numbered one after another is spoilt. */
-  private flawOfOrder(events: readonly StreamEvent[]): string | undefined {
+  /** Rejects a stream whose events are not numbered consecutively. */
+  private eventOrderError(events: readonly StreamEvent[]): string | undefined {
     for (const {id} of events) {
       if (id === undefined) continue;
       const expected = this.nextEventId ?? id;
@@ -279,42 +302,49 @@
     return undefined;
   }
 
-  private collect(chunk: Buffer): void {
+  private bufferChunk(chunk: Buffer): void {
     this.bytes += chunk.length;
-    if (this.bytes > MAX_ANSWER_BYTES) this.spoilt('answer too large');
+    if (this.bytes > MAX_RESPONSE_BYTES) this.failInvalid('answer too large');
     else this.chunks.push(chunk);
   }
 
-  /** What the target sent is not its whole answer to this request. */
-  private spoilt(reason: string): void {
-    this.finish({kind: 'broken', reason, targetSpoke: true});
+  /** Ends the exchange because the target sent an invalid response. */
+  private failInvalid(reason: string): void {
+    this.finish({kind: 'broken', reason, sentInvalidData: true});
   }
 
-  /** The connection ended before the answer did. */
-  private lost(reason: string): void {
-    this.finish({kind: 'broken', reason, targetSpoke: false});
+  /**
+   * Ends the exchange because the connection closed before the response was
+   * complete.
+   */
+  private failDisconnected(reason: string): void {
+    this.finish({kind: 'broken', reason, sentInvalidData: false});
   }
 
-  /** The connection is closed unless the answer was whole. */
-  private finish(end: ExchangeEnd, whole = false): void {
+  /**
+   * Settles the outcome once, and closes the connection unless the response is
+   * complete.
+   */
+  private finish(outcome: ExchangeEnd, complete = false): void {
     if (this.settled) return;
     this.settled = true;
-    if (!whole) this.connection[Symbol.dispose]();
-    this.settle(end);
+    if (!complete) this.connection[Symbol.dispose]();
+    this.resolveOutcome(outcome);
   }
 }
 
 /**
- * Guards against a request that is taken for one that crashes targets, and held for
- * a minute, for answers that live targets spoilt: only a connection that was lost,
- * or a server that runs anew, can come from a crash.
+ * Tells a lost connection or a restarted server, which a crash can cause, from
+ * an invalid response of a live target. Without the distinction, a request
+ * could be blocked for a minute as the cause of a crash although its target is
+ * alive.
  *
- * @param end - What came of a request that got nothing of its answer.
- * @returns Whether the request may have crashed its target.
+ * @param outcome - Outcome of a request of whose response nothing was received.
+ * @returns Whether the request may have crashed the target.
  */
-export function mayHaveCrashed(end: ExchangeEnd): boolean {
-  if (end.kind === 'broken') return !end.targetSpoke;
-  return end.kind === 'ended' && end.by === 'restarted';
+export function mayHaveCrashed(outcome: ExchangeEnd): boolean {
+  if (outcome.kind === 'broken') return !outcome.sentInvalidData;
+  return outcome.kind === 'ended' && outcome.by === 'restarted';
 }
 
 function reasonOf(err: unknown): string {
--- a/packages/gateway/src/lib/request/failure_status.ts
+++ b/packages/gateway/src/lib/request/failure_status.ts
@@ -1,21 +1,25 @@
-/** What callers are told that get no target's answer. */
+/** HTTP status codes for requests that get no response from a target. */
 
 const STATUS_UNAUTHORIZED = 401;
 const STATUS_BAD_GATEWAY = 502;
-/** Says that the request has not run, and never will. */
+/** The request did not run and will not run. */
 export const STATUS_UNAVAILABLE = 503;
 const STATUS_GATEWAY_TIMEOUT = 504;
 
-/** Where that is not 503, by reason. */
+/**
+ * Status by reason, where a request that did not run gets another status than
+ * 503.
+ */
 const NOT_RUN_STATUS: Readonly<Record<string, number>> = {
   'no-key': STATUS_UNAUTHORIZED,
   'unknown-key': STATUS_UNAUTHORIZED,
 };
 
 /**
- * @param reason - Why there is no answer.
- * @param runs - How many targets may have run the request.
- * @returns The status; it says "not run" only where no target may have run it.
+ * @param reason - Why there is no response.
+ * @param runs - Number of targets that may have run the request.
+ * @returns The HTTP status. 401 and 503 state that the request did not run, and
+ *     are used only if no target may have run it.
  */
 export function failureStatus(reason: string, runs: number): number {
   if (reason === 'timeout') return STATUS_GATEWAY_TIMEOUT;
--- a/packages/gateway/src/lib/request/forwarded_headers.ts
+++ b/packages/gateway/src/lib/request/forwarded_headers.ts
@@ -1,10 +1,12 @@
-/** Which headers go on to the other side. */
+/** Selects the headers that are forwarded between callers and targets. */
 import type {IncomingHttpHeaders} from 'node:http';
 import type {Headers} from './target_protocol.js';
 
-/** Headers that concern one connection only (RFC 9110, 7.6.1), and those that
- * the sender of a body sets anew. */
-const CONNECTION_HEADERS: ReadonlySet<string> = new Set([
+/**
+ * Hop-by-hop headers (RFC 9110, 7.6.1), and headers that the sender of a body
+ * sets itself.
+ */
+const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   'connection',
   'keep-alive',
   'proxy-connection',
@@ -17,15 +19,18 @@
 ]);
 
 /**
- * @param headers - As received.
- * @returns Those that are not only for this connection.
+ * @param headers - The headers as received.
+ * @returns The end-to-end headers, without hop-by-hop headers and without those
+ *     that `Connection` lists.
  */
 export function endToEndHeaders(headers: IncomingHttpHeaders): Headers {
-  const named = (headers.connection ?? '').toLowerCase().split(/\s*,\s*/);
+  const connectionOptions = (headers.connection ?? '')
+    .toLowerCase()
+    .split(/\s*,\s*/);
   const forwarded: Record<string, string | readonly string[]> = {};
   for (const [name, value] of Object.entries(headers)) {
-    if (value === undefined || CONNECTION_HEADERS.has(name)) continue;
-    if (named.includes(name)) continue;
+    if (value === undefined || HOP_BY_HOP_HEADERS.has(name)) continue;
+    if (connectionOptions.includes(name)) continue;
     forwarded[name] = value;
   }
   return forwarded;
--- a/packages/gateway/src/lib/request/online_request.ts
+++ b/packages/gateway/src/lib/request/online_request.ts
@@ -1,6 +1,6 @@
 /**
- * One caller's request: tried at one target after another, as far as its route
- * allows, until it has a whole answer or its time is over.
+ * Serves one request of a caller. Tries one target after another, as far as the
+ * route allows, until there is a complete response or the deadline has passed.
  */
 import {
   DisposableStore,
@@ -20,12 +20,12 @@
 import type {RequestPlacement} from '../process/placement.js';
 import type {TargetChooser} from '../process/target_chooser.js';
 import type {AdmittedRequest} from './admitted_request.js';
-import {AnswerWriter} from './answer_writer.js';
+import {ResponseWriter} from './response_writer.js';
 import {
   mayHaveCrashed,
-  type EndedBy,
+  type AbortReason,
   type ExchangeEnd,
-  type WholeAnswer,
+  type CompleteResponse,
 } from './exchange.js';
 import {failureStatus, STATUS_UNAVAILABLE} from './failure_status.js';
 import {endToEndHeaders} from './forwarded_headers.js';
@@ -35,10 +35,14 @@
   type ReportContext,
   type RequestProgress,
 } from './request_report.js';
-import {sendToTarget, type SendContext, type Sending} from './target_send.js';
+import {
+  sendToTarget,
+  type SendContext,
+  type ActiveSend,
+} from './target_send.js';
 import type {RequestFacts, SenderAccount} from './target_protocol.js';
 
-/** What all online requests of a process share. */
+/** Dependencies shared by all online requests of a process. */
 export interface OnlineContext extends SendContext, ReportContext {
   readonly chooser: TargetChooser;
   readonly placement: RequestPlacement;
@@ -48,41 +52,55 @@
   readonly admission: CallerAdmission;
 }
 
-/** How often a request that waits for a target looks again, in milliseconds. */
-const LOOK_AGAIN_MS = 10;
-/** How often targets may say that they are full before the request is refused. */
+/**
+ * Interval at which a waiting request looks for a free target, in milliseconds.
+ */
+const TARGET_POLL_INTERVAL_MS = 10;
+/** How many times targets may decline a request before it is refused. */
 const MAX_DECLINES = 4;
-/** How long a target may say nothing before a request that may be repeated
- * goes elsewhere, in milliseconds: well beyond a pause of a loaded engine. */
-const SILENCE_MS = 1200;
-/** How long a request whose run was cut waits for another target, in ms: it can't
- * be refused as not run any more, and targets are back within a second. */
-const RETRY_WAIT_MS = 1500;
+/**
+ * How long a target may send nothing before a request that can be retried is
+ * moved to another target, in milliseconds. Well above the pauses of an engine
+ * under load.
+ */
+const TARGET_SILENCE_TIMEOUT_MS = 1200;
+/**
+ * How long a request whose run was interrupted waits for another target, in
+ * milliseconds. It can no longer be refused as not run, and targets are usually
+ * available again within a second.
+ */
+const RETRY_TARGET_WAIT_MS = 1500;
 
-/** Ends after which the request may go on at another target. */
-const RUN_IS_OVER: ReadonlySet<EndedBy> = new Set(['silent', 'restarted']);
+/**
+ * Reasons for an abort after which the request may be retried at another
+ * target.
+ */
+const RETRYABLE_ABORTS: ReadonlySet<AbortReason> = new Set([
+  'silent',
+  'restarted',
+]);
 
 const STATUS_SERVER_ERROR = 500;
 
-/** Serves one request. */
+/** Serves one online request. */
 export class OnlineRequest {
   private readonly startedAt: number;
-  private readonly endsAt: number;
-  private readonly facts: RequestFacts;
+  private readonly deadlineAt: number;
+  private readonly metadata: RequestFacts;
   private readonly report: RequestReport;
-  private readonly answer: AnswerWriter;
+  private readonly writer: ResponseWriter;
   private readonly tried = new Set<string>();
   private readonly service: string;
   private readonly demand: WaitDemand;
-  private readonly print: string;
-  private failedAnswer: WholeAnswer | undefined;
-  private sending: Sending | undefined;
-  private endedBy: EndedBy | undefined;
+  private readonly fingerprint: string;
+  private lastFailedResponse: CompleteResponse | undefined;
+  private activeSend: ActiveSend | undefined;
+  private abortReason: AbortReason | undefined;
   private runs = 0;
   private declines = 0;
 
   /**
-   * @param context - Shared by all requests.
+   * @param context - Shared dependencies.
    * @param admitted - The request.
    */
   constructor(
@@ -91,24 +109,24 @@
   ) {
     const {req, res, route, body, startedAt, account} = admitted;
     this.startedAt = startedAt;
-    this.facts = context.protocol.readRequest(req.headers);
-    const waits = this.facts.deadlineMs ?? route.timeoutMs;
-    this.endsAt = startedAt + Math.min(waits, route.timeoutMs);
+    this.metadata = context.protocol.readRequest(req.headers);
+    const requestedMs = this.metadata.deadlineMs ?? route.timeoutMs;
+    this.deadlineAt = startedAt + Math.min(requestedMs, route.timeoutMs);
     const headers = endToEndHeaders(req.headers);
     this.report = new RequestReport(
       context,
       route,
-      this.facts,
+      this.metadata,
       headers,
       account?.name,
     );
     const now = () => this.now();
-    this.answer = new AnswerWriter(res, this.facts.lastEventId, now);
-    this.print = CrashSuspects.fingerprintOf(req.url ?? '/', body);
+    this.writer = new ResponseWriter(res, this.metadata.lastEventId, now);
+    this.fingerprint = CrashSuspects.fingerprintOf(req.url ?? '/', body);
     this.service = pickService(route, context.random);
     const {name, goalMs} = route;
     const priority = account?.priority ?? route.priority;
-    const {deadlineMs} = this.facts;
+    const {deadlineMs} = this.metadata;
     const returning = context.patience.isReturning(name, deadlineMs);
     this.demand = {goalMs, priority, returning};
   }
@@ -117,53 +135,58 @@
   async serve(): Promise<void> {
     const {res} = this.admitted;
     res.on('close', () => {
-      if (!res.writableFinished) this.endBy('caller-left');
+      if (!res.writableFinished) this.abort('caller-left');
     });
-    // It may have left while its quota was asked for.
-    if (res.closed) this.endBy('caller-left');
-    const leftMs = Math.max(0, this.endsAt - this.now());
-    using held = new DisposableStore();
-    held.add(this.context.clock.after(leftMs, () => this.endBy('timeout')));
-    held.add(this.watchSilence());
+    // The caller may have disconnected while its quota was requested.
+    if (res.closed) this.abort('caller-left');
+    const leftMs = Math.max(0, this.deadlineAt - this.now());
+    using disposables = new DisposableStore();
+    disposables.add(
+      this.context.clock.after(leftMs, () => this.abort('timeout')),
+    );
+    disposables.add(this.startSilenceWatch());
     while (!(await this.attempt()));
   }
 
-  /** @returns Whether the request is over. */
+  /** @returns Whether the request is finished. */
   private async attempt(): Promise<boolean> {
-    if (this.context.crashes.isBlocked(this.print))
+    if (this.context.crashes.isBlocked(this.fingerprint))
       return this.giveUp('suspect');
     const target = await this.findTarget();
-    if (this.endedBy) return this.giveUp(this.endedBy);
-    const refusal = this.refusalNow();
+    if (this.abortReason) return this.giveUp(this.abortReason);
+    const refusal = this.recheckAdmission();
     if (refusal) return this.giveUp(refusal);
     if (!target) return this.giveUp('no target');
-    const end = await this.send(target);
-    return this.settle(end, target);
+    const outcome = await this.send(target);
+    return this.handleOutcome(outcome, target);
   }
 
   private async findTarget(): Promise<Target | undefined> {
     const {chooser, placement, clock} = this.context;
     const {service, demand, tried} = this;
-    // With few targets all may have been tried; the run there has ended.
+    // With few targets, all of them may have been tried. The runs there have
+    // ended, so they may be tried again.
     if (!chooser.hasOther(service, tried)) tried.clear();
-    const until = this.now() + this.patienceMs();
+    const until = this.now() + this.targetWaitMs();
     for (;;) {
       const target = await placement.forRequest(service, demand, tried);
-      if (target || this.endedBy) return target;
+      if (target || this.abortReason) return target;
       if (this.now() >= until) return undefined;
-      await sleep(clock, LOOK_AGAIN_MS);
+      await sleep(clock, TARGET_POLL_INTERVAL_MS);
     }
   }
 
   /**
-   * Guards against a key that is withdrawn, or a host that stands still, while the
-   * request waits: what was true when it came may not be true when it is sent. A
-   * stream that has begun goes on.
+   * Checks admission again just before the request is sent. A key may have been
+   * revoked, or the process may have stalled, while the request waited. A
+   * stream that has started continues.
+   *
+   * @returns Why the request must be refused; undefined if it may be sent.
    */
-  private refusalNow(): AdmissionRefusal | undefined {
-    if (this.answer.begun) return undefined;
+  private recheckAdmission(): AdmissionRefusal | undefined {
+    if (this.writer.hasStarted) return undefined;
     const {admission} = this.context;
-    const now = admission.admit(this.facts.key, this.admitted.route);
+    const now = admission.admit(this.metadata.key, this.admitted.route);
     if (now.kind === 'refused') return now.reason;
     const isSame = now.account?.name === this.admitted.account?.name;
     return isSame ? undefined : 'unknown-key';
@@ -174,112 +197,131 @@
     return {name: this.admitted.account?.name};
   }
 
-  private patienceMs(): number {
-    if (this.answer.begun || this.runs > 0) return RETRY_WAIT_MS;
+  private targetWaitMs(): number {
+    if (this.writer.hasStarted || this.runs > 0) return RETRY_TARGET_WAIT_MS;
     return this.startedAt + patienceMs(this.demand) - this.now();
   }
 
   private async send(target: Target): Promise<ExchangeEnd> {
-    const {context, answer} = this;
+    const {context, writer} = this;
     this.tried.add(target.id);
     const load = context.loads.at(targetKey(target.id));
     this.report.sent(target, load, this.progress());
-    const hop = this.report.trace.toTarget(target.serverId, this.runs + 1);
-    const facts = {
-      requestId: this.facts.requestId,
+    const targetSpan = this.report.trace.toTarget(
+      target.serverId,
+      this.runs + 1,
+    );
+    const forwardMetadata = {
+      requestId: this.metadata.requestId,
       serverId: target.serverId,
-      deadlineMs: Math.max(1, Math.floor(this.endsAt - this.now())),
-      lastEventId: answer.lastEventId,
+      deadlineMs: Math.max(1, Math.floor(this.deadlineAt - this.now())),
+      lastEventId: writer.lastEventId,
       account: this.senderAccount(),
     };
     const req = {
-      requestId: this.facts.requestId,
+      requestId: this.metadata.requestId,
       method: this.admitted.req.method ?? 'GET',
       path: this.admitted.req.url ?? '/',
-      headers: context.protocol.requestHeaders(hop.headers, facts),
+      headers: context.protocol.requestHeaders(
+        targetSpan.headers,
+        forwardMetadata,
+      ),
       body: this.admitted.body,
-      firstEventId: answer.nextEventId,
+      firstEventId: writer.nextEventId,
     };
-    this.sending = sendToTarget(context, target, 'online', req, answer);
-    const end = await this.sending.end;
-    this.sending = undefined;
-    hop.end(end.kind);
-    return end;
+    this.activeSend = sendToTarget(context, target, 'online', req, writer);
+    const outcome = await this.activeSend.end;
+    this.activeSend = undefined;
+    targetSpan.end(outcome.kind);
+    return outcome;
   }
 
-  /** @returns Whether the request is over. */
-  private settle(end: ExchangeEnd, target: Target): boolean {
-    if (!this.answer.begun && mayHaveCrashed(end))
-      this.context.crashes.broke(this.print, target.id);
-    switch (end.kind) {
+  /** @returns Whether the request is finished. */
+  private handleOutcome(outcome: ExchangeEnd, target: Target): boolean {
+    if (!this.writer.hasStarted && mayHaveCrashed(outcome))
+      this.context.crashes.broke(this.fingerprint, target.id);
+    switch (outcome.kind) {
       case 'answered':
-        // A run that should have gone on with a stream refused to.
-        if (this.answer.begun) return this.runAgain('failed', target);
-        if (end.head.status >= STATUS_SERVER_ERROR && this.mayRunOnceMore())
-          return this.afterFailure(end, target);
-        this.context.crashes.answered(this.print);
-        this.answer.whole(end.head, end.body);
-        return this.done('answered', end.head.status, target);
+        // The target was asked to resume a stream and sent another response
+        // instead.
+        if (this.writer.hasStarted) return this.retryOrGiveUp('failed', target);
+        if (outcome.head.status >= STATUS_SERVER_ERROR && this.canRetry())
+          return this.recordFailedResponse(outcome, target);
+        this.context.crashes.answered(this.fingerprint);
+        this.writer.sendComplete(outcome.head, outcome.body);
+        return this.finish('answered', outcome.head.status, target);
       case 'streamed':
-        this.answer.end(end.head);
-        return this.done('streamed', undefined, target);
+        this.writer.endStream(outcome.head);
+        return this.finish('streamed', undefined, target);
       case 'declined':
         this.declines++;
         this.tried.delete(target.id);
-        this.note('request-declined', end.kind, target);
+        this.logRun('request-declined', outcome.kind, target);
         return this.declines > MAX_DECLINES ? this.giveUp('declined') : false;
       case 'unsent':
-        this.note('request-unsent', end.reason, target);
+        this.logRun('request-unsent', outcome.reason, target);
         return this.declines++ > MAX_DECLINES ? this.giveUp('unsent') : false;
       case 'broken':
-        return this.runAgain(end.reason, target);
+        return this.retryOrGiveUp(outcome.reason, target);
       case 'ended':
-        return RUN_IS_OVER.has(end.by)
-          ? this.runAgain(end.by, target)
-          : this.giveUp(end.by);
+        return RETRYABLE_ABORTS.has(outcome.by)
+          ? this.retryOrGiveUp(outcome.by, target)
+          : this.giveUp(outcome.by);
     }
   }
 
-  /** A target that fails a request, which may be repeated: another one may not.
-   * What it answered is kept for the case that none does better. */
-  private afterFailure(answer: WholeAnswer, target: Target): false {
+  /**
+   * Keeps the error response of a target for a request that can be retried. It
+   * is sent to the caller only if no other target succeeds.
+   *
+   * @returns False: the request is not finished.
+   */
+  private recordFailedResponse(
+    response: CompleteResponse,
+    target: Target,
+  ): false {
     this.runs++;
-    this.failedAnswer = answer;
-    this.note('request-failed', String(answer.head.status), target);
+    this.lastFailedResponse = response;
+    this.logRun('request-failed', String(response.head.status), target);
     return false;
   }
 
-  /** After a run that gave no answer. @returns Whether the request is over. */
-  private runAgain(reason: string, target: Target): boolean {
-    this.note('request-broken', reason, target);
-    const more = this.mayRunOnceMore();
+  /**
+   * Handles a run that ended without a usable response.
+   *
+   * @returns Whether the request is finished.
+   */
+  private retryOrGiveUp(reason: string, target: Target): boolean {
+    this.logRun('request-broken', reason, target);
+    const retry = this.canRetry();
     this.runs++;
-    return more ? false : this.giveUp(reason);
+    return retry ? false : this.giveUp(reason);
   }
 
-  private mayRunOnceMore(): boolean {
+  private canRetry(): boolean {
     const {route} = this.admitted;
     const repeatable = route.idempotent || route.resumable;
-    return repeatable && this.runs + 1 < route.maxAttempts && !this.endedBy;
+    return repeatable && this.runs + 1 < route.maxAttempts && !this.abortReason;
   }
 
   /**
-   * Answers at once that there will be no answer: "not run" only where no
-   * target may have run it. A stream that has begun is broken off, which no
-   * caller takes for its end.
+   * Ends the request without a successful response. The status states that the
+   * request did not run only if no target may have run it. If a stream has
+   * started, the connection is closed, so that the caller cannot mistake the
+   * interruption for the end of the stream.
    *
-   * @returns That the request is over.
+   * @returns True: the request is finished.
    */
   private giveUp(reason: string): boolean {
-    if (reason === 'caller-left') return this.done(reason);
-    if (this.answer.begun) {
-      this.answer.breakOff();
-      return this.done(reason);
+    if (reason === 'caller-left') return this.finish(reason);
+    if (this.writer.hasStarted) {
+      this.writer.abort();
+      return this.finish(reason);
     }
-    if (this.failedAnswer && reason !== 'timeout') {
-      const {head, body} = this.failedAnswer;
-      this.answer.whole(head, body);
-      return this.done(reason, head.status);
+    if (this.lastFailedResponse && reason !== 'timeout') {
+      const {head, body} = this.lastFailedResponse;
+      this.writer.sendComplete(head, body);
+      return this.finish(reason, head.status);
     }
     const {service} = this;
     this.report.givenUp(service, reason, this.context.chooser.view(service));
@@ -288,41 +330,45 @@
       this.context.admission.giveBackQuota(this.admitted.account);
     const retry =
       status === STATUS_UNAVAILABLE
-        ? this.context.protocol.retryAfter(this.returnAfterMs())
+        ? this.context.protocol.retryAfter(this.retryDelayMs())
         : {};
-    this.answer.failure(status, retry);
-    return this.done(reason, status);
+    this.writer.sendFailure(status, retry);
+    return this.finish(reason, status);
   }
 
-  private returnAfterMs(): number {
+  private retryDelayMs(): number {
     const {protocol, overload} = this.context;
-    const leftMs = this.endsAt - this.now();
+    const leftMs = this.deadlineAt - this.now();
     const latestMs = protocol.latestReturnMs(leftMs);
     return overload.returnAfterMs(this.service, latestMs);
   }
 
-  private endBy(by: EndedBy): void {
-    this.endedBy ??= by;
-    this.sending?.control.end(by);
+  private abort(by: AbortReason): void {
+    this.abortReason ??= by;
+    this.activeSend?.control.end(by);
   }
 
-  /** Ends a run at a target that has gone silent, if it may go on elsewhere. */
-  private watchSilence(): Disposable {
+  /**
+   * Aborts a run at a target that has sent nothing for too long, if the request
+   * can be retried elsewhere.
+   */
+  private startSilenceWatch(): Disposable {
     const {idempotent, resumable} = this.admitted.route;
     if (!idempotent && !resumable) return {[Symbol.dispose]: () => {}};
     const timer = setInterval(() => {
-      const control = this.sending?.control;
-      if (!control || !this.mayRunOnceMore()) return;
-      if (control.silentMs(this.now()) > SILENCE_MS) control.end('silent');
-    }, SILENCE_MS / 4);
+      const control = this.activeSend?.control;
+      if (!control || !this.canRetry()) return;
+      if (control.silentMs(this.now()) > TARGET_SILENCE_TIMEOUT_MS)
+        control.end('silent');
+    }, TARGET_SILENCE_TIMEOUT_MS / 4);
     return {[Symbol.dispose]: () => clearInterval(timer)};
   }
 
-  private note(event: string, reason: string, target: Target): void {
+  private logRun(event: string, reason: string, target: Target): void {
     this.report.run(event, reason, target, this.progress());
   }
 
-  private done(outcome: string, status?: number, target?: Target): true {
+  private finish(outcome: string, status?: number, target?: Target): true {
     this.report.ended(outcome, this.progress(), status, target);
     return true;
   }
@@ -330,9 +376,9 @@
   private progress(): RequestProgress {
     const {runs, declines} = this;
     const ms = this.now() - this.startedAt;
-    const {begunAt, lastEventId: afterEvent} = this.answer;
+    const {firstWriteAt, lastEventId: afterEvent} = this.writer;
     const firstMs =
-      begunAt === undefined ? undefined : begunAt - this.startedAt;
+      firstWriteAt === undefined ? undefined : firstWriteAt - this.startedAt;
     return {runs, declines, ms, firstMs, afterEvent};
   }
 
--- a/packages/gateway/src/lib/request/pick_service.ts
+++ b/packages/gateway/src/lib/request/pick_service.ts
@@ -1,12 +1,12 @@
-/** Which of a route's services takes a request. */
+/** Selects the service of a route that handles a request. */
 import type {Random} from '@oathead/core';
 import type {Route} from '../version/routing_table.js';
 
 /**
- * Draws one of a route's services by their weights.
+ * Selects one of a route's services at random, weighted by their shares.
  *
- * @param route - Names at least one service.
- * @param random - Draws.
+ * @param route - A route with at least one service.
+ * @param random - Source of randomness.
  * @returns The name of the service.
  */
 export function pickService(route: Route, random: Random): string {
--- a/packages/gateway/src/lib/request/read_body.ts
+++ b/packages/gateway/src/lib/request/read_body.ts
@@ -1,14 +1,17 @@
-/** Reads a caller's body whole, within a bound. */
+/** Reads a complete request body up to a size limit. */
 import type {IncomingMessage} from 'node:http';
 import {failure, success, type Outcome} from '@oathead/core';
 
-/** Why there is no body. */
+/**
+ * Why the body could not be read: it exceeds the limit, or the connection
+ * closed before its end.
+ */
 export type BodyError = 'too-large' | 'cut';
 
 /**
  * @param req - The request.
- * @param maxBytes - The largest body that is taken.
- * @returns The body, or why there is none.
+ * @param maxBytes - Maximum size of the body, in bytes.
+ * @returns The body, or why it could not be read.
  */
 export function readBody(
   req: IncomingMessage,
--- a/packages/gateway/src/lib/request/request_report.ts
+++ b/packages/gateway/src/lib/request/request_report.ts
@@ -1,4 +1,4 @@
-/** What is written down of one request: log lines, counters and spans. */
+/** Log events, counters and spans of one request. */
 import type {Counters, EventLog} from '@oathead/core';
 import type {Tracer} from '@opentelemetry/api';
 import type {Target} from '../connection/target.js';
@@ -8,59 +8,67 @@
 import {RequestTrace} from './request_trace.js';
 import type {Headers, RequestFacts} from './target_protocol.js';
 
-/** Where it is written. */
+/** Destinations of the reports. */
 export interface ReportContext {
   readonly log: EventLog;
   readonly counters: Counters;
   readonly tracer: Tracer;
 }
 
-/** How far a request has come. */
+/** Progress of a request. */
 export interface RequestProgress {
-  /** Runs that have ended. */
+  /** Number of runs that have ended. */
   readonly runs: number;
-  /** How often targets said that they did not run it. */
+  /** Number of times a target declined to run the request. */
   readonly declines: number;
-  /** Since its head came, in milliseconds. */
+  /** Time since the request headers were received, in milliseconds. */
   readonly ms: number;
-  /** Until the first of its answer was written, in milliseconds. */
+  /**
+   * Time until the response was started, in milliseconds; undefined if it has
+   * not been started.
+   */
   readonly firstMs: number | undefined;
-  /** The last event that its caller has. */
+  /** Number of the last event that the caller received. */
   readonly afterEvent: number | undefined;
 }
 
-/** Ends of a request with which its caller has a target's answer. */
-const SERVED: ReadonlySet<string> = new Set(['answered', 'streamed']);
+/** Outcomes with which the caller received a response of a target. */
+const SUCCESSFUL_OUTCOMES: ReadonlySet<string> = new Set([
+  'answered',
+  'streamed',
+]);
 
-/** Reports one request. */
+/** Reports the progress and outcome of one request. */
 export class RequestReport {
-  /** Its spans. */
+  /** Spans of the request. */
   readonly trace: RequestTrace;
 
   /**
    * @param context - Log, counters and tracer.
-   * @param route - The route it came by.
-   * @param facts - What it says of itself.
-   * @param headers - Those that go on to targets.
-   * @param account - Whose request it is.
+   * @param route - The route of the request.
+   * @param metadata - Metadata of the request.
+   * @param headers - Headers that are forwarded to targets.
+   * @param account - Name of the caller's account.
    */
   constructor(
     private readonly context: ReportContext,
     private readonly route: Route,
-    private readonly facts: RequestFacts,
+    private readonly metadata: RequestFacts,
     headers: Headers,
     private readonly account: string | undefined,
   ) {
     this.trace = new RequestTrace(context.tracer, 'request', headers, {
-      request: facts.requestId,
+      request: metadata.requestId,
       route: route.name,
     });
   }
 
   /**
-   * @param target - Where it is sent.
-   * @param load - What is in flight there, as far as this host knows.
-   * @param progress - How far it has come.
+   * Reports that the request is sent to a target.
+   *
+   * @param target - The target.
+   * @param load - In-flight requests at the target, as known to this host.
+   * @param progress - Progress of the request.
    */
   sent(
     target: Target,
@@ -68,7 +76,7 @@
     progress: RequestProgress,
   ): void {
     this.context.log.event('request-sent', {
-      request: this.facts.requestId,
+      request: this.metadata.requestId,
       route: this.route.name,
       target: target.id,
       run: progress.runs + 1,
@@ -80,10 +88,12 @@
   }
 
   /**
-   * @param event - What became of a run.
-   * @param reason - Why.
-   * @param target - Where it was.
-   * @param progress - How far the request has come.
+   * Reports the end of a run that gave no final response.
+   *
+   * @param event - Name of the log event.
+   * @param reason - Why the run ended.
+   * @param target - Where the request ran.
+   * @param progress - Progress of the request.
    */
   run(
     event: string,
@@ -92,7 +102,7 @@
     {runs, afterEvent}: RequestProgress,
   ): void {
     this.context.log.event(event, {
-      request: this.facts.requestId,
+      request: this.metadata.requestId,
       target: target.id,
       reason,
       runs,
@@ -101,21 +111,26 @@
   }
 
   /**
-   * @param service - Whose targets were asked.
-   * @param reason - Why there will be no answer.
-   * @param view - What the choice among the targets went by.
+   * Reports that the request ends without a response of a target.
+   *
+   * @param service - The service whose targets were considered.
+   * @param reason - Why there is no response.
+   * @param view - State of the targets that the choice was based on.
    */
   givenUp(service: string, reason: string, view: ChoiceView): void {
-    const request = this.facts.requestId;
-    const inputs = {request, service, reason, ...view};
-    this.context.log.event('request-given-up', inputs);
+    const request = this.metadata.requestId;
+    const fields = {request, service, reason, ...view};
+    this.context.log.event('request-given-up', fields);
   }
 
   /**
-   * @param outcome - How the request ended.
-   * @param progress - How far it had come.
-   * @param status - What its caller was told; undefined: a stream, or nothing.
-   * @param target - Whose answer it was.
+   * Reports the end of the request.
+   *
+   * @param outcome - Outcome of the request.
+   * @param progress - Progress of the request.
+   * @param status - HTTP status sent to the caller; undefined for streams, and
+   *     if nothing was sent.
+   * @param target - The target whose response was sent, if any.
    */
   ended(
     outcome: string,
@@ -123,10 +138,10 @@
     status: number | undefined,
     target: Target | undefined,
   ): void {
-    this.trace.end(SERVED.has(outcome) ? undefined : outcome);
+    this.trace.end(SUCCESSFUL_OUTCOMES.has(outcome) ? undefined : outcome);
     this.context.counters.count('online_requests', {outcome});
     this.context.log.event('request-ended', {
-      request: this.facts.requestId,
+      request: this.metadata.requestId,
       route: this.route.name,
       account: this.account,
       outcome,
--- a/packages/gateway/src/lib/request/request_trace.ts
+++ b/packages/gateway/src/lib/request/request_trace.ts
@@ -1,29 +1,32 @@
-/** The spans of one request: its own, and one for each target it is sent to. */
+/**
+ * Trace spans of one request: one for the request and one for each target that
+ * it is sent to.
+ */
 import {endHop, startHop, traceparentOf} from '@oathead/observe';
 import type {Attributes, Span, Tracer} from '@opentelemetry/api';
 import type {ExchangeEnd} from './exchange.js';
 import type {Headers} from './target_protocol.js';
 
-/** Carries the trace from hop to hop (W3C trace context). */
+/** Header that propagates the trace (W3C Trace Context). */
 const TRACE_HEADER = 'traceparent';
 
-/** A hop to a target. */
-export interface TargetHop {
-  /** The headers with which the target can go on with the trace. */
+/** Span of one run at a target. */
+export interface TargetSpan {
+  /** Request headers with the trace context for the target. */
   readonly headers: Headers;
-  /** @param kind - How the target was done with the request. */
+  /** @param kind - Kind of the outcome at the target. */
   end(kind: ExchangeEnd['kind']): void;
 }
 
-/** Records a request and its hops; records nothing where traces are off. */
+/** Records the spans of a request. Records nothing if tracing is disabled. */
 export class RequestTrace {
   private readonly span: Span;
 
   /**
-   * @param tracer - The process's tracer.
-   * @param name - What the span is of.
-   * @param headers - Of the request: they may carry a trace that it belongs to.
-   * @param attributes - What tells this request from others.
+   * @param tracer - Tracer of the process.
+   * @param name - Name of the span.
+   * @param headers - Headers of the request, which may contain a trace context.
+   * @param attributes - Attributes of the span.
    */
   constructor(
     private readonly tracer: Tracer,
@@ -31,37 +34,38 @@
     private readonly headers: Headers,
     attributes: Attributes,
   ) {
-    const before = headers[TRACE_HEADER];
-    const text = typeof before === 'string' ? before : undefined;
-    this.span = startHop(tracer, name, text, attributes);
+    const parent = headers[TRACE_HEADER];
+    const traceparent = typeof parent === 'string' ? parent : undefined;
+    this.span = startHop(tracer, name, traceparent, attributes);
   }
 
   /**
-   * @param targetId - Where the request is sent.
-   * @param run - Which try this is, from 1.
-   * @returns The hop, to be ended when the target is done with it.
+   * @param targetId - The target that the request is sent to.
+   * @param run - Number of the run, starting at 1.
+   * @returns The span, to be ended with the outcome at the target.
    */
-  toTarget(targetId: string, run: number): TargetHop {
-    const before = traceparentOf(this.span);
-    // Traces are off: a trace of the caller's goes on as it came.
-    if (before === undefined) return {headers: this.headers, end: () => {}};
+  toTarget(targetId: string, run: number): TargetSpan {
+    const parent = traceparentOf(this.span);
+    // Tracing is disabled. A trace context of the caller is forwarded
+    // unchanged.
+    if (parent === undefined) return {headers: this.headers, end: () => {}};
     const attributes = {target: targetId, run};
-    const span = startHop(this.tracer, 'target', before, attributes);
+    const span = startHop(this.tracer, 'target', parent, attributes);
     const headers = {...this.headers, [TRACE_HEADER]: traceparentOf(span)!};
-    return {headers, end: kind => endHop(span, failureOf(kind))};
+    return {headers, end: kind => endHop(span, errorOf(kind))};
   }
 
-  /** @param outcome - How the request ended; undefined: well. */
+  /** @param outcome - How the request failed; undefined if it succeeded. */
   end(outcome?: string): void {
     endHop(this.span, outcome);
   }
 }
 
-const WELL: ReadonlySet<ExchangeEnd['kind']> = new Set([
+const SUCCESSFUL_KINDS: ReadonlySet<ExchangeEnd['kind']> = new Set([
   'answered',
   'streamed',
 ]);
 
-function failureOf(kind: ExchangeEnd['kind']): string | undefined {
-  return WELL.has(kind) ? undefined : kind;
+function errorOf(kind: ExchangeEnd['kind']): string | undefined {
+  return SUCCESSFUL_KINDS.has(kind) ? undefined : kind;
 }
--- /dev/null
+++ b/packages/gateway/src/lib/request/response_writer.ts
@@ -0,0 +1,135 @@
+/**
+ * Writes the response to a caller: a complete body, a stream of events, or a
+ * failure.
+ */
+import type {ServerResponse} from 'node:http';
+import type {AnswerHead, EventSink} from './exchange.js';
+import {endToEndHeaders} from './forwarded_headers.js';
+import type {StreamEvent} from './stream_events.js';
+import type {Headers} from './target_protocol.js';
+
+/** Writes the response to one request. */
+export class ResponseWriter implements EventSink {
+  private lastWrittenId: number | undefined;
+  private startTime: number | undefined;
+
+  /**
+   * @param res - The response to the caller.
+   * @param lastEventId - Number of the last event that the caller already
+   *     received.
+   * @param now - Monotonic clock, in milliseconds.
+   */
+  constructor(
+    private readonly res: ServerResponse,
+    lastEventId: number | undefined,
+    private readonly now: () => number,
+  ) {
+    this.lastWrittenId = lastEventId;
+  }
+
+  /** Whether anything was written to the caller. */
+  get hasStarted(): boolean {
+    return this.startTime !== undefined;
+  }
+
+  /**
+   * When the response was started, on the monotonic clock; undefined if it has
+   * not been started.
+   */
+  get firstWriteAt(): number | undefined {
+    return this.startTime;
+  }
+
+  /**
+   * Number of the last event that the caller received; undefined if there is
+   * none.
+   */
+  get lastEventId(): number | undefined {
+    return this.lastWrittenId;
+  }
+
+  /**
+   * Number that the next event must have; undefined while no event number is
+   * known.
+   */
+  get nextEventId(): number | undefined {
+    return this.lastWrittenId === undefined
+      ? undefined
+      : this.lastWrittenId + 1;
+  }
+
+  /** {@inheritDoc EventSink.events} */
+  events(events: readonly StreamEvent[], head: AnswerHead): boolean {
+    if (!this.hasStarted) this.writeHead(head);
+    this.lastWrittenId = events.at(-1)!.id ?? this.lastWrittenId;
+    const bytes = events.map(event => event.bytes);
+    return this.res.write(bytes.length === 1 ? bytes[0] : Buffer.concat(bytes));
+  }
+
+  /** @param resume - Called once when the buffered events were sent. */
+  paused(resume: () => void): void {
+    this.res.once('drain', resume);
+  }
+
+  /**
+   * Ends a complete stream.
+   *
+   * @param head - Status and headers of the last run, written now if the stream
+   *     had no events.
+   */
+  endStream(head: AnswerHead): void {
+    if (!this.hasStarted) this.writeHead(head);
+    this.res.end();
+  }
+
+  /**
+   * Closes the connection to the caller, so that an interrupted stream cannot
+   * look complete.
+   */
+  abort(): void {
+    this.res.destroy();
+  }
+
+  /**
+   * @param head - Status and headers of the target's response.
+   * @param body - The complete body.
+   */
+  sendComplete(head: AnswerHead, body: Buffer): void {
+    this.startTime = this.now();
+    const headers = {...endToEndHeaders(head.headers)};
+    this.res.writeHead(head.status, {
+      ...toNodeHeaders(headers),
+      'content-length': body.length,
+    });
+    this.res.end(body);
+  }
+
+  /**
+   * Sends a failure that the gateway itself generates, unless a response was
+   * already started.
+   *
+   * @param status - HTTP status.
+   * @param headers - Additional headers.
+   */
+  sendFailure(status: number, headers: Headers): void {
+    if (this.res.headersSent || this.res.destroyed) return;
+    this.startTime = this.now();
+    this.res.writeHead(status, {
+      ...toNodeHeaders(headers),
+      'content-length': 0,
+    });
+    this.res.end();
+  }
+
+  private writeHead(head: AnswerHead): void {
+    this.startTime = this.now();
+    this.res.writeHead(
+      head.status,
+      toNodeHeaders(endToEndHeaders(head.headers)),
+    );
+  }
+}
+
+function toNodeHeaders(headers: Headers): Record<string, string | string[]> {
+  return headers as Record<string, string | string[]>;
+}
--- a/packages/gateway/src/lib/request/stream_events.ts
+++ b/packages/gateway/src/lib/request/stream_events.ts
@@ -1,10 +1,13 @@
-/** Splits a stream into whole events, which are passed on or kept as they are. */
+/**
+ * Splits a server-sent event stream into complete events, which keep their
+ * original bytes.
+ */
 
-/** One whole event of a stream. */
+/** One complete event of a stream. */
 export interface StreamEvent {
-  /** Its number in the stream; undefined where it has none. */
+  /** Number of the event, from its `id` field; undefined if it has none. */
   readonly id: number | undefined;
-  /** Its bytes, the empty line that ends it included. */
+  /** Bytes of the event, including the empty line that ends it. */
   readonly bytes: Buffer;
 }
 
@@ -13,22 +16,22 @@
 const ID_LINE = /^id: ?(\d+)\r?$/m;
 const DATA_LINE = /^data: ?(.*?)\r?$/gm;
 
-/** Cuts the bytes of a stream where its events end. */
+/** Splits a byte stream at the ends of its events. */
 export class EventSplitter {
-  private rest: Buffer = Buffer.alloc(0);
+  private pending: Buffer = Buffer.alloc(0);
 
-  /** Whether bytes of an event are waiting for the rest of it. */
+  /** Whether the bytes of an incomplete event are buffered. */
   get hasPartialEvent(): boolean {
-    return this.rest.length > 0;
+    return this.pending.length > 0;
   }
 
   /**
    * @param chunk - The next bytes of the stream.
-   * @returns The events that are whole now.
+   * @returns The events that this chunk completes.
    */
   push(chunk: Buffer): readonly StreamEvent[] {
     const bytes =
-      this.rest.length > 0 ? Buffer.concat([this.rest, chunk]) : chunk;
+      this.pending.length > 0 ? Buffer.concat([this.pending, chunk]) : chunk;
     const events: StreamEvent[] = [];
     let start = 0;
     for (;;) {
@@ -36,24 +39,24 @@
       if (found < 0) break;
       let end = found + EVENT_END.length;
       while (bytes[end] === LINE_FEED) end++;
-      events.push(eventOf(bytes.subarray(start, end)));
+      events.push(parseEvent(bytes.subarray(start, end)));
       start = end;
     }
-    this.rest = bytes.subarray(start);
+    this.pending = bytes.subarray(start);
     return events;
   }
 }
 
 /**
  * @param event - An event of a stream.
- * @returns Its data, lines joined by line feeds.
+ * @returns Its `data` lines, joined by line feeds.
  */
 export function dataOf(event: StreamEvent): string {
   const lines = event.bytes.toString('utf8').matchAll(DATA_LINE);
   return [...lines].map(line => line[1]!).join('\n');
 }
 
-function eventOf(bytes: Buffer): StreamEvent {
+function parseEvent(bytes: Buffer): StreamEvent {
   const id = ID_LINE.exec(bytes.toString('latin1'))?.[1];
   return {id: id === undefined ? undefined : Number(id), bytes};
 }
--- a/packages/gateway/src/lib/request/target_protocol.ts
+++ b/packages/gateway/src/lib/request/target_protocol.ts
@@ -1,81 +1,99 @@
 /**
- * How targets and callers are spoken to. The rest of the gateway knows what a
- * request or an answer says; the implementation knows how it is said.
+ * Header protocol between the gateway, its callers and the targets. The gateway
+ * works with the meaning of requests and responses; an implementation maps it
+ * to the headers on the wire.
  */
 import type {IncomingHttpHeaders} from 'node:http';
 import type {Target} from '../connection/target.js';
 
-/** Headers of a request or an answer, by lower-case name. */
+/** Headers of a request or response, by lower-case name. */
 export type Headers = Readonly<Record<string, string | readonly string[]>>;
 
-/** What a caller's request says of itself. */
+/** Metadata in the headers of a caller's request. */
 export interface RequestFacts {
-  /** Names this try of the caller; the target's answer repeats it. */
+  /**
+   * Identifies this request of the caller. The target's response repeats it.
+   */
   readonly requestId: string | undefined;
-  /** How long the caller waits, in milliseconds. */
+  /** How long the caller waits for the response, in milliseconds. */
   readonly deadlineMs: number | undefined;
-  /** The last event that the caller has of a stream it resumes. */
+  /**
+   * Number of the last event that the caller received of a stream that it
+   * resumes.
+   */
   readonly lastEventId: number | undefined;
-  /** The key of the caller's client account; undefined: it sent none that could
-   * be one. */
+  /**
+   * Key of the caller's client account; undefined if the request has no valid
+   * key.
+   */
   readonly key: string | undefined;
 }
 
-/** Whose request it is, while the configuration has client accounts. */
+/** Account of the sender, while the configuration has client accounts. */
 export interface SenderAccount {
-  /** Undefined: the route needs no key, and none was sent. */
+  /** Undefined if the route needs no key and none was sent. */
   readonly name: string | undefined;
 }
 
-/** What is said to a target beside the caller's own headers. */
+/** Metadata that the gateway adds to the caller's own headers. */
 export interface SendFacts {
-  /** Names the request; undefined: its sender gave it no name. */
+  /** Identifies the request; undefined if the caller sent no request id. */
   readonly requestId: string | undefined;
-  /** Any other server refuses the request. */
+  /** Server that the request is meant for. Any other server refuses it. */
   readonly serverId: Target['serverId'];
-  /** What is left of the caller's time, in milliseconds. */
+  /** Remaining time until the caller's deadline, in milliseconds. */
   readonly deadlineMs: number;
-  /** The last event that is known of a stream which is resumed. */
+  /** Number of the last known event of a stream that is resumed. */
   readonly lastEventId: number | undefined;
-  /** Takes the place of the caller's key and of any account that it claims;
-   * undefined: there are no accounts. */
+  /**
+   * Replaces the caller's key and any account name that the caller sent;
+   * undefined if there are no accounts.
+   */
   readonly account: SenderAccount | undefined;
 }
 
-/** What the head of a target's answer says. */
+/** Metadata in the status and headers of a target's response. */
 export interface AnswerFacts {
-  /** Which request it answers. */
+  /** Identifies the request that the response belongs to. */
   readonly requestId: string | undefined;
-  /** Whether the target vouches for the body. */
+  /** Whether the response has the target's seal, which vouches for the body. */
   readonly sealed: boolean;
-  /** Whether the target says that it did not run the request. */
+  /** Whether the target states that it did not run the request. */
   readonly notRun: boolean;
-  /** Whether the body is in a coding that nobody asked for. */
+  /** Whether the body has a content encoding that was not requested. */
   readonly encoded: boolean;
   /** Whether the body is a stream of events. */
   readonly eventStream: boolean;
 }
 
-/** Translates between the gateway and the headers on the wire. */
+/** Maps between the gateway's metadata and the headers on the wire. */
 export interface TargetProtocol {
-  /** @param headers - Of a caller's request. */
+  /**
+   * @param headers - Headers of a caller's request.
+   * @returns The metadata of the request.
+   */
   readRequest(headers: IncomingHttpHeaders): RequestFacts;
   /**
-   * @param headers - The caller's headers that go on.
-   * @param facts - What the gateway adds.
+   * @param headers - Headers of the caller that are forwarded.
+   * @param metadata - Metadata that the gateway adds.
    * @returns The headers for the target.
    */
-  requestHeaders(headers: Headers, facts: SendFacts): Headers;
+  requestHeaders(headers: Headers, metadata: SendFacts): Headers;
   /**
-   * @param status - Of a target's answer.
-   * @param headers - Of a target's answer.
+   * @param status - HTTP status of a target's response.
+   * @param headers - Headers of a target's response.
+   * @returns The metadata of the response.
    */
   readAnswer(status: number, headers: IncomingHttpHeaders): AnswerFacts;
-  /** @param ms - When to come back. @returns Headers that say so. */
+  /**
+   * @param ms - Delay before the caller should retry, in milliseconds.
+   * @returns The headers that state it.
+   */
   retryAfter(ms: number): Headers;
   /**
-   * @param leftMs - How long the caller still waits, in milliseconds.
-   * @returns The latest time to come back that callers obey, in milliseconds.
+   * @param leftMs - Remaining time until the caller's deadline, in
+   *     milliseconds.
+   * @returns Longest retry delay that callers comply with, in milliseconds.
    */
   latestReturnMs(leftMs: number): number;
 }
--- a/packages/gateway/src/lib/request/target_send.ts
+++ b/packages/gateway/src/lib/request/target_send.ts
@@ -1,4 +1,7 @@
-/** Sends a request to a target and keeps the books: load, connection, health. */
+/**
+ * Sends a request to a target and records its effect on load, connections and
+ * health.
+ */
 import type {Clock, Counters} from '@oathead/core';
 import type {ConnectionPool} from '../connection/connection_pool.js';
 import {targetKey} from '../connection/load_message.js';
@@ -17,13 +20,16 @@
 } from './exchange.js';
 import type {TargetProtocol} from './target_protocol.js';
 
-/** A target that has said nothing for so long gets nothing new for a while, in
- * milliseconds: it may have gone dark, and who waits for it can't go elsewhere
- * where a request may run once only. Beyond the longest wait for a slot. */
+/**
+ * A target that has sent nothing for this long is suspended, in milliseconds.
+ * It may have become unresponsive without closing its connections, and a
+ * request that may run only once cannot be moved elsewhere. Longer than the
+ * longest wait for a slot.
+ */
 const SILENT_TARGET_MS = 1000;
 const STATUS_SERVER_ERROR = 500;
 
-/** What sending needs, the same for all requests of a process. */
+/** Dependencies shared by all requests of a process. */
 export interface SendContext {
   readonly protocol: TargetProtocol;
   readonly pool: ConnectionPool;
@@ -36,19 +42,19 @@
   readonly counters: Counters;
 }
 
-/** A request under way, and what becomes of it. */
-export interface Sending {
+/** A request in flight and its outcome. */
+export interface ActiveSend {
   readonly control: ExchangeControl;
   readonly end: Promise<ExchangeEnd>;
 }
 
 /**
  * @param context - Connections, loads and health of the targets.
- * @param target - Where it goes.
- * @param lane - What it counts as.
- * @param req - What is sent.
- * @param sink - Takes the events of a stream.
- * @returns The request, under way.
+ * @param target - The target.
+ * @param lane - Whether the request counts as online or as batch load.
+ * @param req - The request.
+ * @param sink - Receives the events of a stream.
+ * @returns The request in flight.
  */
 export function sendToTarget(
   context: SendContext,
@@ -56,43 +62,43 @@
   lane: Lane,
   req: TargetRequest,
   sink: EventSink,
-): Sending {
+): ActiveSend {
   const {pool, loads, clock, protocol} = context;
-  const foundFree = hasFreeSlot(loads, target);
+  const hadFreeSlot = hasFreeSlot(loads, target);
   const load = loads.begin(targetKey(target.id), lane);
-  const connection = pool.take(target.id, target.address);
+  const connection = pool.acquire(target.id, target.address);
   const now = () => clock.now();
-  const onHeard = () => context.suspensions.heard(target.id);
+  const onActivity = () => context.suspensions.heard(target.id);
   const exchange = new Exchange(connection, req, {
     protocol,
     sink,
     now,
-    onHeard,
+    onActivity,
   });
   exchange.start();
   const sentAt = clock.now();
-  const silence = clock.after(SILENT_TARGET_MS, () => {
+  const silenceTimer = clock.after(SILENT_TARGET_MS, () => {
     if (!context.suspensions.heardSince(target.id, sentAt))
-      suspect(context, target, 'silent');
-    // Guards against a target that answers most requests and leaves some
-    // without a word: its health check is good, and only who was sent to it
-    // sees what is missing. It loses share, but is not suspended. At a full
-    // target a request may just be waiting for its turn.
+      recordFailure(context, target, 'silent');
+    // The target responds to most requests, including health checks, but not to
+    // this one. Only the sender can detect that, so the target gets a smaller
+    // traffic share without being suspended. At a full target, the request may
+    // just be queued.
     else if (exchange.firstByteMs === undefined && !isFull(loads, target))
       context.health.failed(target);
   });
-  const restart = context.directory.onceRestarted(target, () =>
+  const restartListener = context.directory.onceRestarted(target, () =>
     exchange.end('restarted'),
   );
-  const end = exchange.end$.then(outcome => {
-    silence[Symbol.dispose]();
-    restart[Symbol.dispose]();
+  const end = exchange.outcome$.then(outcome => {
+    silenceTimer[Symbol.dispose]();
+    restartListener[Symbol.dispose]();
     load[Symbol.dispose]();
-    if (exchange.leavesConnectionUsable) pool.keep(target.id, connection);
+    if (exchange.isConnectionReusable) pool.release(target.id, connection);
     else connection[Symbol.dispose]();
-    judge(context, target, lane, outcome, exchange.firstByteMs);
+    recordOutcome(context, target, lane, outcome, exchange.firstByteMs);
     const firstByteMs = exchange.firstByteMs;
-    if (lane === 'online' && foundFree && isWhole(outcome) && firstByteMs)
+    if (lane === 'online' && hadFreeSlot && isComplete(outcome) && firstByteMs)
       context.overload.ran(target.service, {
         firstByteMs,
         runMs: clock.now() - sentAt,
@@ -112,21 +118,21 @@
   return online + batch > slots;
 }
 
-/** What an end says of the target. */
-function judge(
+/** Updates suspensions and health of the target after a request. */
+function recordOutcome(
   context: SendContext,
   target: Target,
   lane: Lane,
-  end: ExchangeEnd,
+  outcome: ExchangeEnd,
   firstByteMs: number | undefined,
 ): void {
   const {suspensions, health, counters} = context;
-  counters.count('target_exchanges', {end: end.kind, lane});
-  switch (end.kind) {
+  counters.count('target_exchanges', {end: outcome.kind, lane});
+  switch (outcome.kind) {
     case 'answered':
     case 'streamed':
       suspensions.succeeded(target.id);
-      if (isTargetError(end)) health.failed(target);
+      if (isTargetError(outcome)) health.failed(target);
       else if (lane === 'online') health.answered(target, firstByteMs ?? 0);
       return;
     case 'declined':
@@ -134,22 +140,28 @@
       return;
     case 'unsent':
     case 'broken':
-      suspect(context, target, end.reason);
+      recordFailure(context, target, outcome.reason);
       return;
     case 'ended':
-      if (end.by === 'silent') suspect(context, target, end.by);
+      if (outcome.by === 'silent') recordFailure(context, target, outcome.by);
   }
 }
 
-function isWhole(end: ExchangeEnd): boolean {
-  return end.kind === 'streamed' || end.kind === 'answered';
+function isComplete(outcome: ExchangeEnd): boolean {
+  return outcome.kind === 'streamed' || outcome.kind === 'answered';
 }
 
-function isTargetError(end: ExchangeEnd): boolean {
-  return end.kind === 'answered' && end.head.status >= STATUS_SERVER_ERROR;
+function isTargetError(outcome: ExchangeEnd): boolean {
+  return (
+    outcome.kind === 'answered' && outcome.head.status >= STATUS_SERVER_ERROR
+  );
 }
 
-function suspect(context: SendContext, target: Target, reason: string): void {
+function recordFailure(
+  context: SendContext,
+  target: Target,
+  reason: string,
+): void {
   context.suspensions.failed(target.id, reason);
   context.health.failed(target);
 }
--- a/packages/gateway/src/lib/version/account_table.ts
+++ b/packages/gateway/src/lib/version/account_table.ts
@@ -1,4 +1,6 @@
-/** The client accounts of one version of the configuration, by their keys. */
+/**
+ * The client accounts of one configuration version, indexed by name and by key.
+ */
 import {
   failure,
   hashOfKey,
@@ -8,26 +10,28 @@
   type Outcome,
 } from '@oathead/core';
 
-/** An account with its keys in clear text, as the operator declares it. */
+/** An account with its keys in plain text, as the operator declares it. */
 export interface DeclaredAccount extends ClientAccount {
   readonly keys: readonly string[];
 }
 
-/** Why accounts can't be taken. Keys are secrets: none is named. */
+/**
+ * Why the declared accounts are invalid. Keys are secret and never included.
+ */
 export type AccountError =
   | {readonly kind: 'shared-key'; readonly accounts: readonly [string, string]}
   | {readonly kind: 'same-name'; readonly account: string};
 
-/** Accounts by name and by key; keys are kept as hashes only. */
+/** Index of accounts by name and by key. Only hashes of the keys are kept. */
 export class AccountTable {
   private readonly byName = new Map<string, ClientAccount>();
-  private readonly byKey = new KeyIndex<ClientAccount>();
+  private readonly accountsByKey = new KeyIndex<ClientAccount>();
 
   private constructor() {}
 
   /**
-   * @param declared - All accounts.
-   * @returns Them, or what is wrong with them.
+   * @param declared - All accounts of the configuration.
+   * @returns The index, or the first conflict that was found.
    */
   static of(
     declared: readonly DeclaredAccount[],
@@ -39,7 +43,7 @@
         return failure({kind: 'same-name', account: name});
       table.byName.set(name, account);
       for (const key of keys) {
-        const shared = table.byKey.add(hashOfKey(key), account);
+        const shared = table.accountsByKey.add(hashOfKey(key), account);
         if (!shared) continue;
         const [one, other] = shared.owners;
         const accounts = [one.name, other.name] as const;
@@ -49,24 +53,34 @@
     return success(table);
   }
 
-  /** How many accounts there are. */
+  /** Number of accounts. */
   get size(): number {
     return this.byName.size;
   }
 
-  /** @returns The account of this name. */
+  /**
+   * @param name - Name of an account.
+   * @returns The account; undefined if there is none of this name.
+   */
   named(name: string): ClientAccount | undefined {
     return this.byName.get(name);
   }
 
-  /** @returns The account that holds a key. */
+  /**
+   * @param key - An API key in plain text.
+   * @returns The account that the key belongs to; undefined if the key is
+   *     unknown.
+   */
   ofKey(key: string): ClientAccount | undefined {
-    return this.byKey.ownerOf(key);
+    return this.accountsByKey.ownerOf(key);
   }
 }
 
-/** @returns What is wrong, for the log. */
+/**
+ * @param err - Why the accounts are invalid.
+ * @returns A message for the log, without keys.
+ */
 export function accountErrorText(err: AccountError): string {
-  if (err.kind === 'same-name') return `two accounts are named ${err.account}`;
-  return `accounts ${err.accounts.join(' and ')} have a key in common`;
+  if (err.kind === 'same-name') return `duplicate account name: ${err.account}`;
+  return `accounts ${err.accounts.join(' and ')} share a key`;
 }
--- a/packages/gateway/src/lib/version/route_matcher.ts
+++ b/packages/gateway/src/lib/version/route_matcher.ts
@@ -1,19 +1,19 @@
-/** Finds the route of a request in one version of the configuration. */
+/** Finds the route of a request in one configuration version. */
 import type {Route, RoutingTable} from './routing_table.js';
 
-/** Routes by host name, the longest prefix first. */
+/** Routes by host name, sorted by descending length of the path prefix. */
 export class RouteMatcher {
   private readonly byHost: ReadonlyMap<string, readonly Route[]>;
 
-  /** @param table - The version whose routes are matched. */
+  /** @param table - The configuration version whose routes are matched. */
   constructor(readonly table: RoutingTable) {
     const longestFirst = [...table.routes].sort(
       (a, b) => b.pathPrefix.length - a.pathPrefix.length,
     );
     const byHost = new Map<string, Route[]>();
     for (const route of longestFirst) {
-      const known = byHost.get(route.hostName);
-      if (known) known.push(route);
+      const hostRoutes = byHost.get(route.hostName);
+      if (hostRoutes) hostRoutes.push(route);
       else byHost.set(route.hostName, [route]);
     }
     this.byHost = byHost;
@@ -21,8 +21,9 @@
 
   /**
    * @param hostHeader - The `Host` header, with or without a port.
-   * @param path - The path with its query.
-   * @returns The route with the longest prefix that begins the path.
+   * @param path - The request path, including the query.
+   * @returns The route with the longest matching path prefix; undefined if none
+   *     matches.
    */
   match(hostHeader: string | undefined, path: string): Route | undefined {
     const routes = this.byHost.get(hostNameOf(hostHeader));
@@ -32,7 +33,7 @@
 
   /**
    * @param hostHeader - The `Host` header, with or without a port.
-   * @returns The routes of this host name.
+   * @returns All routes of this host name.
    */
   routesOf(hostHeader: string | undefined): readonly Route[] {
     return this.byHost.get(hostNameOf(hostHeader)) ?? [];
--- a/packages/gateway/src/lib/version/routing_state.ts
+++ b/packages/gateway/src/lib/version/routing_state.ts
@@ -1,17 +1,17 @@
-/** The configuration in force: only ever replaced by a higher version. */
+/** The configuration in force. It is only ever replaced by a higher version. */
 import type {EventLog} from '@oathead/core';
 import {RouteMatcher} from './route_matcher.js';
 import type {RoutingTable} from './routing_table.js';
 
-/** Holds the configuration that requests are handled by. */
+/** Holds the configuration that requests are routed by. */
 export class RoutingState {
   private matcher: RouteMatcher | undefined;
   private readonly listeners: Array<(table: RoutingTable) => void> = [];
 
-  /** @param log - Where adopted and ignored versions are written. */
+  /** @param log - Receives an event for each adopted version. */
   constructor(private readonly log: EventLog) {}
 
-  /** The version in force; undefined until one is known. */
+  /** The version in force; undefined until the first one is adopted. */
   get current(): RouteMatcher | undefined {
     return this.matcher;
   }
@@ -22,20 +22,21 @@
   }
 
   /**
-   * Adopts a version unless one as high is in force: answers of the store and
-   * of other hosts arrive in any order, and a configuration never goes back.
+   * Adopts a version unless the version in force is at least as high. Replies
+   * of the store and of other hosts arrive in any order, and the configuration
+   * must never revert to an older version.
    *
    * @param table - The version that was read.
-   * @param source - Where it came from, for the log.
-   * @returns Whether it is in force now for the first time.
+   * @param source - Where it was read from, for the log.
+   * @returns Whether the version was adopted.
    */
   adopt(table: RoutingTable, source: string): boolean {
-    const known = this.matcher?.table.version ?? -1;
-    if (table.version <= known) return false;
+    const adoptedVersion = this.matcher?.table.version ?? -1;
+    if (table.version <= adoptedVersion) return false;
     this.matcher = new RouteMatcher(table);
     this.log.event('config-adopted', {
       version: table.version,
-      replaced: known,
+      replaced: adoptedVersion,
       source,
       routes: table.routes.length,
       accounts: table.accounts?.size,
--- a/packages/gateway/src/lib/version/routing_table.ts
+++ b/packages/gateway/src/lib/version/routing_table.ts
@@ -1,44 +1,51 @@
-/** What an operator's configuration says of routes: one version, read-only. */
+/** Routes of an operator's configuration: one immutable version. */
 import type {AccountTable} from './account_table.js';
 
-/** What a route carries. */
+/** Kind of request that a route serves. */
 export type RouteKind = 'call' | 'stream' | 'batch';
 
-/** A service with its share of a route's requests. */
+/** A service and its share of the requests of a route. */
 export interface WeightedService {
   readonly service: string;
   readonly weight: number;
 }
 
-/** Requests of one host name and path prefix. */
+/** A route: all requests with a given host name and path prefix. */
 export interface Route {
   readonly name: string;
   readonly hostName: string;
-  /** Begins and ends with a slash. */
+  /** Starts and ends with a slash. */
   readonly pathPrefix: string;
   readonly kind: RouteKind;
-  /** Whether a request may run more than once, from its start. */
+  /** Whether a request may be run again from the start. */
   readonly idempotent: boolean;
-  /** Whether a cut stream may go on at another target. */
+  /** Whether an interrupted stream may be resumed at another target. */
   readonly resumable: boolean;
-  /** How long a request may take, in milliseconds. */
+  /** Maximum duration of a request, in milliseconds. */
   readonly timeoutMs: number;
-  /** When an answer, or a stream's first event, is on time, in milliseconds. */
+  /**
+   * Latency objective for a response, or for the first event of a stream, in
+   * milliseconds.
+   */
   readonly goalMs: number;
-  /** 0 is the most urgent. */
+  /** Scheduling priority; 0 is the most urgent. */
   readonly priority: number;
-  /** At how many targets one request may run. */
+  /** Maximum number of targets at which one request may run. */
   readonly maxAttempts: number;
   readonly services: readonly WeightedService[];
   /** Whether callers need no key. */
   readonly isPublic: boolean;
-  /** When a batch job's results are due after it was sent, in milliseconds. */
+  /**
+   * Completion objective of a batch job, in milliseconds after its submission.
+   */
   readonly completionGoalMs: number;
-  /** When an item of a batch job may be given up, in milliseconds. */
+  /**
+   * Time after which an item of a batch job may be dropped, in milliseconds.
+   */
   readonly retentionMs: number;
 }
 
-/** What a caller may send, and how long it may take. */
+/** Limits on callers' requests. */
 export interface CallerBounds {
   readonly maxBodyBytes: number;
   readonly headerTimeoutMs: number;
@@ -50,6 +57,6 @@
   readonly version: number;
   readonly routes: readonly Route[];
   readonly bounds: CallerBounds;
-  /** Undefined: callers need no keys. */
+  /** Undefined if callers need no keys. */
   readonly accounts: AccountTable | undefined;
 }
--- a/packages/gateway/src/test/connection/connect_hang_test.ts
+++ b/packages/gateway/src/test/connection/connect_hang_test.ts
@@ -7,8 +7,11 @@
 import {Exchange} from '../../lib/request/exchange.js';
 import {PROTOCOL} from '../fakes/raw_target.js';
 
-/** Listens, and then never takes a connection: its thread stands still. */
-const DEAF = `
+/**
+ * Worker that listens and then never accepts a connection, because its thread
+ * is blocked.
+ */
+const UNRESPONSIVE_LISTENER = `
   const {createServer} = require('node:net');
   const {parentPort} = require('node:worker_threads');
   const server = createServer().listen({port: 0, host: '127.0.0.1', backlog: 1}, () => {
@@ -16,20 +19,21 @@
     setTimeout(() => Atomics.wait(new Int32Array(new SharedArrayBuffer(4)), 0, 0), 50);
   });
 `;
-const PARTLY = 8;
+const BACKLOG_CONNECTIONS = 8;
 const SINK = {events: () => true, paused: () => {}};
 
-// Buyers wait for more than a second while other targets are idle: a target went
-// dark without a word, and each request that is sent there waits for a connection.
-// Nothing was sent yet, so that it can go elsewhere while it is still in time.
-test('a request soon knows that no connection is made', async t => {
-  const worker = new Worker(DEAF, {eval: true});
+// Guards against requests that wait for more than a second while other targets
+// are idle. A target became unresponsive without closing its listener, and each
+// request sent there waits for a connection. Nothing was sent yet, so the
+// request can be moved to another target if the connect timeout is short.
+test('a request ends soon if no connection is established', async t => {
+  const worker = new Worker(UNRESPONSIVE_LISTENER, {eval: true});
   t.teardown(() => worker.terminate());
   const [port] = (await once(worker, 'message')) as [number];
   await new Promise(resolve => setTimeout(resolve, 150));
   const fillers: Socket[] = [];
   t.teardown(() => fillers.forEach(socket => socket.destroy()));
-  for (let i = 0; i < PARTLY; i++) {
+  for (let i = 0; i < BACKLOG_CONNECTIONS; i++) {
     const socket = connect({port, host: '127.0.0.1'});
     socket.on('error', () => {});
     fillers.push(socket);
@@ -45,13 +49,13 @@
   };
   const now = () => performance.now();
   const startedAt = now();
-  const exchange = new Exchange(pool.take('t', `127.0.0.1:${port}`), req, {
+  const exchange = new Exchange(pool.acquire('t', `127.0.0.1:${port}`), req, {
     protocol: PROTOCOL,
     sink: SINK,
     now,
-    onHeard: () => {},
+    onActivity: () => {},
   });
   exchange.start();
-  t.is((await exchange.end$).kind, 'unsent');
+  t.is((await exchange.outcome$).kind, 'unsent');
   t.true(now() - startedAt < 700, `${now() - startedAt} ms`);
 });
--- a/packages/gateway/src/test/connection/host_socket_test.ts
+++ b/packages/gateway/src/test/connection/host_socket_test.ts
@@ -20,7 +20,7 @@
 const IP = '127.0.0.1';
 const GRANT: PlacementMessage = {kind: 'grant', askId: 7, targetId: 't'};
 
-/** A port of loopback that is free. */
+/** @returns A free port on the loopback interface. */
 async function freePort(): Promise<number> {
   const socket = createSocket('udp4').bind(0, IP);
   await once(socket, 'listening');
@@ -36,33 +36,34 @@
   return {socket, self};
 }
 
-async function until(condition: () => boolean): Promise<void> {
+async function waitUntil(condition: () => boolean): Promise<void> {
   while (!condition()) await setTimeout(5);
 }
 
-test('a datagram reaches the handler of its kind', async t => {
+test('a datagram is passed to the handler of its message type', async t => {
   const {socket: sender} = await newSocket();
   const {socket: receiver, self} = await newSocket();
   using held = new DisposableStore();
   held.add(sender);
   held.add(receiver);
-  const heard: Array<PlacementMessage | undefined> = [];
-  receiver.on(LOAD_FORMAT, () => {
-    t.fail('another kind');
+  const received: Array<PlacementMessage | undefined> = [];
+  receiver.setHandler(LOAD_FORMAT, () => {
+    t.fail('handler of another message type called');
     return true;
   });
-  receiver.on(PLACEMENT_FORMAT, datagram => {
-    heard.push(decodePlacement(datagram));
+  receiver.setHandler(PLACEMENT_FORMAT, datagram => {
+    received.push(decodePlacement(datagram));
     return true;
   });
   sender.send(encodePlacement(GRANT), [self], 'grant');
-  await until(() => heard.length > 0);
-  t.deepEqual(heard, [GRANT]);
+  await waitUntil(() => received.length > 0);
+  t.deepEqual(received, [GRANT]);
 });
 
-// Hosts of another release, or anyone else on the network, send what nobody here can
-// read: it is counted, and the process goes on.
-test('what nobody can read is counted', async t => {
+// Hosts of another release, or any other sender on the network, may send
+// datagrams that cannot be decoded. They must be counted and must not stop the
+// process.
+test('unreadable datagrams are counted', async t => {
   let unreadable = 0;
   const counters: Counters = {
     count: name => {
@@ -71,13 +72,13 @@
   };
   const {socket: sender} = await newSocket();
   const {socket: receiver, self} = await newSocket(counters);
-  receiver.on(PLACEMENT_FORMAT, () => false);
+  receiver.setHandler(PLACEMENT_FORMAT, () => false);
   for (const bytes of [[], [0x91], [0x91, 99], [0x91, 10]])
     sender.send(Uint8Array.from(bytes), [self], 'other');
-  await until(() => unreadable === 4);
+  await waitUntil(() => unreadable === 4);
   sender[Symbol.dispose]();
   receiver[Symbol.dispose]();
-  // Nobody is told any more, and nothing fails.
+  // Sending after disposal is ignored and must not throw.
   sender.send(encodePlacement(GRANT), [self], 'grant');
   t.is(unreadable, 4);
 });
--- a/packages/gateway/src/test/connection/load_pace_test.ts
+++ b/packages/gateway/src/test/connection/load_pace_test.ts
@@ -1,38 +1,40 @@
 import test from 'ava';
-import {loadPlan, loadSpacing} from '../../lib/connection/load_pace.js';
+import {loadPlan, loadIntervals} from '../../lib/connection/load_pace.js';
 
 const OPTIONS = {periodMs: 60, maxDatagramsPerSecond: 150};
 const MS_PER_SECOND = 1000;
 
-test('a few hosts all hear as often as each other', t => {
-  t.deepEqual(loadSpacing(2, 6, OPTIONS), {nearMs: 60, farMs: 60});
+test('in a small fleet all hosts get reports at the same interval', t => {
+  t.deepEqual(loadIntervals(2, 6, OPTIONS), {nearMs: 60, farMs: 60});
 });
 
-// Items are cut again and again on a larger fleet: each host knows the loads of
-// the targets next to it as late as those of the farthest ones. With more hosts
-// than the bound allows for, near ones must still hear in time.
-test('with more hosts near ones hear sooner, within the bound', t => {
+// Guards against batch items that are preempted over and over on a larger
+// fleet, because reports about local targets arrive as late as those about the
+// most distant ones. With more hosts than the rate limit allows to reach at the
+// minimum interval, local hosts must still be updated in time.
+test('in a larger fleet local hosts get more reports, within the limit', t => {
   for (const [near, far] of [
     [6, 22],
     [7, 28],
     [24, 75],
     [56, 283],
   ] as const) {
-    const {nearMs, farMs} = loadSpacing(near, far, OPTIONS);
+    const {nearMs, farMs} = loadIntervals(near, far, OPTIONS);
     const sent = near / nearMs + far / farMs;
     t.true(sent * MS_PER_SECOND <= 150.001, `${near} and ${far}`);
     t.true(nearMs < farMs, `${near} and ${far}`);
   }
-  t.is(loadSpacing(6, 22, OPTIONS).nearMs, 60);
+  t.is(loadIntervals(6, 22, OPTIONS).nearMs, 60);
 });
 
-test('one data centre alone has the whole bound', t => {
-  t.is(loadSpacing(30, 0, OPTIONS).nearMs, 200);
+test('a single data centre uses the whole rate limit', t => {
+  t.is(loadIntervals(30, 0, OPTIONS).nearMs, 200);
 });
 
-// Callers wait in each burst on a large fleet: loads of other data centres are as old
-// as the burst is long. However many hosts there are, they must be told within it.
-test('loads of other data centres come within a burst, within the bound', t => {
+// Guards against requests that queue in each burst on a large fleet, because
+// the loads of other data centres are as old as the burst is long. Regardless
+// of the number of hosts, the loads must arrive within the burst.
+test('loads of other data centres arrive within a burst and the limit', t => {
   const options = {...OPTIONS, directFarMs: 333, relayMs: 500};
   for (const [near, far, dataCentres] of [
     [7, 28, 4],
@@ -47,7 +49,7 @@
   }
 });
 
-test('a few hosts tell each other directly, which is quicker', t => {
+test('hosts of a small fleet report to each other directly', t => {
   const options = {...OPTIONS, directFarMs: 333, relayMs: 500};
   t.is(loadPlan(2, 6, 3, options).kind, 'direct');
   t.is(loadPlan(30, 0, 0, options).kind, 'direct');
--- a/packages/gateway/src/test/request/exchange_test.ts
+++ b/packages/gateway/src/test/request/exchange_test.ts
@@ -14,7 +14,7 @@
 const STREAM = `${HEAD}content-type: text/event-stream\r\n`;
 const EVENTS = 'id: 1\ndata: a\n\nid: 2\ndata: b\n\n';
 
-/** What a target writes, and how it goes on. */
+/** The bytes that a target sends, and how the connection continues. */
 interface Script {
   readonly name: string;
   readonly bytes: string;
@@ -22,16 +22,18 @@
   readonly expected: ExchangeEnd['kind'];
 }
 
-/** Answers as targets give them, faulty ones among them. Only those that are
- * whole, signed and of this very request may reach a caller. */
+/**
+ * Valid and faulty responses of targets. Only responses that are complete,
+ * sealed and belong to the request may reach a caller.
+ */
 const SCRIPTS: readonly Script[] = [
   {
-    name: 'a whole answer',
+    name: 'a complete response',
     bytes: `${HEAD}content-length: 2\r\n\r\nok`,
     expected: 'answered',
   },
   {
-    name: 'the answer to another request',
+    name: 'the response to another request',
     bytes:
       'HTTP/1.1 200 OK\r\nid: r0\r\nseal: s\r\ncontent-length: 2\r\n\r\nok',
     expected: 'broken',
@@ -47,45 +49,45 @@
     expected: 'broken',
   },
   {
-    name: 'a body in a coding that nobody asked for',
+    name: 'a body in an encoding that was not requested',
     bytes: `${HEAD}content-encoding: gzip\r\ncontent-length: 2\r\n\r\nok`,
     expected: 'broken',
   },
   {
-    name: 'an answer that is cut short',
+    name: 'a truncated response',
     bytes: `${HEAD}content-length: 20\r\n\r\nok`,
     then: 'end',
     expected: 'broken',
   },
   {
-    name: 'an answer without length that ends with its connection',
+    name: 'a response without length that ends with its connection',
     bytes: `${HEAD}connection: close\r\n\r\nok`,
     then: 'end',
     expected: 'answered',
   },
   {
-    name: 'an answer without length whose connection is reset',
+    name: 'a response without length whose connection is reset',
     bytes: `${HEAD}connection: close\r\n\r\nok`,
     then: 'reset',
     expected: 'broken',
   },
   {
-    name: 'bytes that are no answer',
+    name: 'bytes that are not HTTP',
     bytes: 'I am not HTTP\r\n\r\n',
     expected: 'broken',
   },
   {
-    name: 'a refusal that says it has not run',
+    name: 'a refusal that states the request did not run',
     bytes: 'HTTP/1.1 503 X\r\nnot-run: 1\r\ncontent-length: 0\r\n\r\n',
     expected: 'declined',
   },
   {
-    name: 'a failure of the target',
+    name: 'an error response of the target',
     bytes: 'HTTP/1.1 500 X\r\nid: r1\r\ncontent-length: 0\r\n\r\n',
     expected: 'answered',
   },
   {
-    name: 'a whole stream',
+    name: 'a complete stream',
     bytes: `${STREAM}content-length: ${EVENTS.length}\r\n\r\n${EVENTS}`,
     expected: 'streamed',
   },
@@ -100,7 +102,7 @@
     expected: 'broken',
   },
   {
-    name: 'no answer at all',
+    name: 'a closed connection without a response',
     bytes: '',
     then: 'end',
     expected: 'broken',
@@ -115,20 +117,23 @@
   });
 }
 
-/** What a target that crashes can look like; anything else was sent by a target
- * that lives. */
-const LIKE_A_CRASH: ReadonlySet<string> = new Set([
-  'an answer that is cut short',
-  'an answer without length whose connection is reset',
+/**
+ * Responses that a crash of the target can cause. All others prove that the
+ * target is alive.
+ */
+const POSSIBLE_CRASHES: ReadonlySet<string> = new Set([
+  'a truncated response',
+  'a response without length whose connection is reset',
   'a stream that ends inside an event',
-  'no answer at all',
+  'a closed connection without a response',
 ]);
 
-// A request that may be repeated is held for a minute as one that crashes servers,
-// although they live: they sent bytes that are not its answer.
+// Guards against a request that is blocked for a minute as the cause of a crash
+// although its targets are alive: they sent bytes that are not a valid
+// response.
 for (const script of SCRIPTS) {
-  const crashed = LIKE_A_CRASH.has(script.name);
-  const what = crashed ? 'may be a crash' : 'is no crash';
+  const crashed = POSSIBLE_CRASHES.has(script.name);
+  const what = crashed ? 'may be a crash' : 'is not a crash';
   test(`${script.name} ${what}`, async t => {
     await using target = await listen(socket => answer(socket, script));
     const {end} = await exchangeWith(t, target.address);
@@ -136,18 +141,18 @@
   });
 }
 
-test('a connection that can not be made leaves the request unsent', async t => {
+test('a failed connection attempt leaves the request unsent', async t => {
   const target = await listen(() => {});
   await target[Symbol.asyncDispose]();
   const {end} = await exchangeWith(t, target.address);
   t.is(end.kind, 'unsent');
 });
 
-// A caller gets the answer to somebody else's request. A faulty target sends a
-// further answer right behind a whole one, in the same packet, and the next
-// request that takes the kept connection would get it. The connection must not
-// be used again.
-test('a connection with an extra answer is not kept', async t => {
+// Guards against a caller that receives the response to another request. A
+// faulty target sends an extra response in the same packet, right after a
+// complete one, and the next request on the pooled connection would receive it.
+// The connection must not be reused.
+test('a connection with an extra response is not reused', async t => {
   const whole = `${HEAD}content-length: 2\r\n\r\nok`;
   const script = {
     name: '',
@@ -158,25 +163,26 @@
   using pool = new ConnectionPool(NO_COUNTERS);
   const {end, connection} = await exchangeWith(t, target.address, pool);
   t.is(end.kind, 'answered');
-  pool.keep('t', connection);
+  pool.release('t', connection);
   await new Promise(resolve => setTimeout(resolve, 20));
-  t.not(pool.take('t', target.address), connection);
+  t.not(pool.acquire('t', target.address), connection);
 });
 
-test('a whole answer leaves a connection that is used again', async t => {
+test('a connection is reused after a complete response', async t => {
   const whole = `${HEAD}content-length: 2\r\n\r\nok`;
   const script = {name: '', bytes: whole, expected: 'answered'} as const;
   await using target = await listen(socket => answer(socket, script));
   using pool = new ConnectionPool(NO_COUNTERS);
   const {connection} = await exchangeWith(t, target.address, pool);
-  pool.keep('t', connection);
+  pool.release('t', connection);
   await new Promise(resolve => setTimeout(resolve, 20));
-  t.is(pool.take('t', target.address), connection);
+  t.is(pool.acquire('t', target.address), connection);
 });
 
-// A target goes on working for a caller who has left. The caller closes before
-// the first event; the target must see its connection closed at once.
-test('ending an exchange closes its connection', async t => {
+// Guards against a target that continues to work for a caller that has
+// disconnected. The caller disconnects before the first event; the connection
+// to the target must be closed immediately.
+test('aborting an exchange closes its connection', async t => {
   let onClosed = () => {};
   const closed = new Promise<void>(resolve => {
     onClosed = resolve;
@@ -185,18 +191,18 @@
     socket.on('close', onClosed).resume(),
   );
   using pool = new ConnectionPool(NO_COUNTERS);
-  const connection = pool.take('t', target.address);
+  const connection = pool.acquire('t', target.address);
   const exchange = newExchange(connection, []);
   exchange.start();
   await new Promise(resolve => setTimeout(resolve, 50));
   exchange.end('caller-left');
-  t.deepEqual(await exchange.end$, {kind: 'ended', by: 'caller-left'});
+  t.deepEqual(await exchange.outcome$, {kind: 'ended', by: 'caller-left'});
   await closed;
   t.pass();
 });
 
 function newExchange(
-  connection: ReturnType<ConnectionPool['take']>,
+  connection: ReturnType<ConnectionPool['acquire']>,
   events: StreamEvent[],
 ): Exchange {
   const req = {
@@ -208,8 +214,8 @@
     firstEventId: undefined,
   };
   const sink = {
-    events: (more: readonly StreamEvent[]) => {
-      events.push(...more);
+    events: (newEvents: readonly StreamEvent[]) => {
+      events.push(...newEvents);
       return true;
     },
     paused: () => {},
@@ -218,7 +224,7 @@
     protocol: PROTOCOL,
     sink,
     now: () => performance.now(),
-    onHeard: () => {},
+    onActivity: () => {},
   });
 }
 
@@ -227,18 +233,18 @@
   address: string,
   pool = new ConnectionPool(NO_COUNTERS),
 ) {
-  const connection = pool.take('t', address);
+  const connection = pool.acquire('t', address);
   t.teardown(() => connection[Symbol.dispose]());
   const exchange = newExchange(connection, []);
   exchange.start();
-  return {end: await exchange.end$, connection};
+  return {end: await exchange.outcome$, connection};
 }
 
 function answer(socket: Socket, {bytes, then}: Script): void {
   socket.on('error', () => socket.destroy());
   socket.once('data', () => {
     socket.write(bytes, () => {
-      // Later than the bytes, so that they are read before the connection ends.
+      // After the bytes, so that they are read before the connection ends.
       setTimeout(() => {
         if (then === 'end') socket.end();
         if (then === 'reset') socket.resetAndDestroy();
--- a/packages/gateway/src/test/request/parsers_fuzz_test.ts
+++ b/packages/gateway/src/test/request/parsers_fuzz_test.ts
@@ -23,7 +23,7 @@
   {maxLength: 10},
 );
 
-test('bytes of anyone on the network never stop a host', t => {
+test('decoders never throw on arbitrary datagrams', t => {
   const property = fc.property(fc.uint8Array({maxLength: 200}), bytes => {
     decodeLoad(bytes);
     decodePlacement(bytes);
@@ -32,7 +32,7 @@
   t.pass();
 });
 
-test('a load message says what was put into it', t => {
+test('load messages survive encoding and decoding', t => {
   const counts = fc.tuple(COUNT, COUNT);
   const property = fc.property(LOAD, counts, (entries, [sequence, sumOf]) => {
     const load = new Map(
@@ -47,7 +47,7 @@
   fc.assert(property, {numRuns: RUNS / 10, seed: 7});
 });
 
-const WISH = fc.oneof(
+const CRITERIA = fc.oneof(
   fc.record({
     lane: fc.constant('online' as const),
     demand: fc.record({
@@ -68,7 +68,7 @@
     host: fc.string(),
     askId: COUNT,
     service: fc.string(),
-    wish: WISH,
+    wish: CRITERIA,
     excluded: fc.array(fc.string(), {maxLength: 4}),
   }),
   fc.record({
@@ -83,17 +83,17 @@
   }),
 ) satisfies fc.Arbitrary<PlacementMessage>;
 
-test('a message of places says what was put into it', t => {
+test('placement messages survive encoding and decoding', t => {
   const property = fc.property(PLACEMENT, message => {
     const bytes = encodePlacement(message);
     t.deepEqual(decodePlacement(bytes), message);
-    // The kind stands where the socket looks for it.
+    // The message type is at the offset at which the socket looks for it.
     t.is(bytes[1], PLACEMENT_FORMAT);
   });
   fc.assert(property, {numRuns: RUNS / 10, seed: 7});
 });
 
-test('however a stream is cut, its events come out once and whole', t => {
+test('for any split, each event comes out once and complete', t => {
   const property = fc.property(EVENTS, fc.array(fc.nat(9)), (events, cuts) => {
     const text = events
       .map(({id, data}) => `id: ${id}\ndata: ${data}\n\n`)
@@ -115,7 +115,7 @@
   fc.assert(property, {numRuns: RUNS, seed: 7});
 });
 
-test('any bytes can come in a stream', t => {
+test('the splitter accepts arbitrary bytes and adds none', t => {
   const pieces = fc.array(fc.uint8Array({maxLength: 60}), {maxLength: 10});
   const property = fc.property(pieces, all => {
     const splitter = new EventSplitter();
--- a/packages/gateway/src/test/request/stream_events_test.ts
+++ b/packages/gateway/src/test/request/stream_events_test.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check';
 import {dataOf, EventSplitter} from '../../lib/request/stream_events.js';
 
-test('events come out whole, however the stream is cut into chunks', t => {
+test('events come out complete for any split of the stream into chunks', t => {
   const text = fc.stringMatching(/^[a-z0-9 :]{0,12}$/);
   fc.assert(
     fc.property(
@@ -13,7 +13,7 @@
           .map((data, i) => `id: ${i + 1}\ndata: ${data}\n\n`)
           .join('');
         const splitter = new EventSplitter();
-        const events = chunksOf(Buffer.from(stream), cuts).flatMap(chunk =>
+        const events = splitAt(Buffer.from(stream), cuts).flatMap(chunk =>
           splitter.push(chunk),
         );
         t.deepEqual(events.map(dataOf), texts);
@@ -28,15 +28,15 @@
   );
 });
 
-test('an event without an end is held back', t => {
+test('an incomplete event is buffered', t => {
   const splitter = new EventSplitter();
   t.is(splitter.push(Buffer.from('id: 1\ndata: a\n')).length, 0);
   t.true(splitter.hasPartialEvent);
 });
 
-function chunksOf(bytes: Buffer, cuts: readonly number[]): readonly Buffer[] {
-  const at = [...new Set([0, ...cuts, bytes.length])]
+function splitAt(bytes: Buffer, cuts: readonly number[]): readonly Buffer[] {
+  const offsets = [...new Set([0, ...cuts, bytes.length])]
     .filter(cut => cut <= bytes.length)
     .sort((a, b) => a - b);
-  return at.slice(1).map((end, i) => bytes.subarray(at[i], end));
+  return offsets.slice(1).map((end, i) => bytes.subarray(offsets[i], end));
 }
--- a/packages/gateway/src/test/request/target_send_test.ts
+++ b/packages/gateway/src/test/request/target_send_test.ts
@@ -19,13 +19,17 @@
 import {runOf, targetOf} from '../fakes/targets.js';
 
 const SINK = {events: () => true, paused: () => {}};
-const WHOLE =
+const COMPLETE_RESPONSE =
   'HTTP/1.1 200 OK\r\nid: r1\r\nseal: s\r\ncontent-length: 2\r\n\r\nok';
-const DECLINED = 'HTTP/1.1 503 Busy\r\nnot-run: 1\r\ncontent-length: 0\r\n\r\n';
-/** More than the system keeps of what was sent and not read. */
+const DECLINED_RESPONSE =
+  'HTTP/1.1 503 Busy\r\nnot-run: 1\r\ncontent-length: 0\r\n\r\n';
+/** More than the operating system buffers of unread data, in bytes. */
 const LONG_BODY_BYTES = 16 * 1024 * 1024;
-/** Longer than a target may say nothing. */
-const LONG_MS = 1300;
+/**
+ * Longer than the time after which a silent target is suspended, in
+ * milliseconds.
+ */
+const SILENCE_WAIT_MS = 1300;
 
 function targetAt(address: string): Target {
   return targetOf('t', {address});
@@ -60,14 +64,14 @@
   };
 }
 
-// Some callers wait for nothing while all looks well: a target answers most
-// requests, its health check among them, and leaves others without a word. It
-// must lose share, but not be taken for dead.
-test('a target that leaves some requests without a word loses share', async t => {
-  await using raw = await listenMute();
+// Guards against callers that wait in vain although the target looks healthy:
+// it responds to most requests, including health checks, but never to some. It
+// must lose traffic share without being suspended.
+test('a target that ignores some requests loses traffic share', async t => {
+  await using raw = await listenUnresponsive();
   const context = newContext();
   const target = targetAt(raw.address);
-  const mute = sendToTarget(
+  const unanswered = sendToTarget(
     context,
     target,
     'online',
@@ -78,19 +82,20 @@
   const {end} = sendToTarget(context, target, 'online', requestTo('/a'), SINK);
   t.is((await end).kind, 'answered');
   t.is(context.health.share(target), 1);
-  await setTimeout(LONG_MS);
+  await setTimeout(SILENCE_WAIT_MS);
   context.health.tick();
   t.true(context.health.share(target) < 1);
   t.false(context.suspensions.has(target.id));
-  mute.control.end('timeout');
-  t.is((await mute.end).kind, 'ended');
+  unanswered.control.end('timeout');
+  t.is((await unanswered.end).kind, 'ended');
 });
 
-// A burst fills a target, and requests wait a second for their turn. That is no
-// fault of the target: with less share others would be filled in its place, one
-// after the other, and all of them would look failing.
-test('a full target does not lose share for those that wait', async t => {
-  await using raw = await listenMute();
+// Guards against healthy targets that lose traffic share under a burst.
+// Requests wait a second for a slot at a full target, which is not a fault of
+// the target. With a smaller share, other targets would fill up one after the
+// other, and all of them would look faulty.
+test('a full target keeps its share while requests are queued', async t => {
+  await using raw = await listenUnresponsive();
   const context = newContext();
   const target = targetAt(raw.address);
   const waiting = [...Array(target.slots + 1).keys()].map(() =>
@@ -99,18 +104,19 @@
   await setTimeout(100);
   const {end} = sendToTarget(context, target, 'online', requestTo('/a'), SINK);
   t.is((await end).kind, 'answered');
-  await setTimeout(LONG_MS);
+  await setTimeout(SILENCE_WAIT_MS);
   context.health.tick();
   t.is(context.health.share(target), 1);
   for (const {control} of waiting) control.end('timeout');
   await Promise.all(waiting.map(one => one.end));
 });
 
-// A caller gets a timeout although targets are idle: one refused a long request
-// before it had read it, and reads the rest of it slowly. The next request was
-// sent on the same connection, behind that rest.
-test('no request waits behind the rest of one that was answered early', async t => {
-  await using raw = await listenEarly();
+// Guards against a timeout of a caller while targets are idle. A target
+// declines a long request before it has read it, and reads the rest slowly or
+// not at all. The next request must not be sent on the same connection, behind
+// the rest.
+test('no request waits behind the unread body of a declined one', async t => {
+  await using raw = await listenEarlyDecline();
   const context = newContext();
   const target = targetAt(raw.address);
   const long = {...requestTo('/long'), body: Buffer.alloc(LONG_BODY_BYTES)};
@@ -118,37 +124,38 @@
   t.is((await early.end).kind, 'declined');
   await setTimeout(20);
   const next = sendToTarget(context, target, 'online', requestTo('/a'), SINK);
-  const end = await Promise.race([next.end, setTimeout(LONG_MS)]);
+  const end = await Promise.race([next.end, setTimeout(SILENCE_WAIT_MS)]);
   t.is(end?.kind, 'answered');
   next.control.end('timeout');
 });
 
-/** @returns A target that refuses long requests and reads on no more. */
-function listenEarly() {
+/** @returns A target that declines long requests and then stops reading. */
+function listenEarlyDecline() {
   return listen(socket => {
     socket.on('error', () => socket.destroy());
     socket.on('data', bytes => {
-      if (!bytes.includes('/long')) socket.write(WHOLE);
-      else socket.pause().write(DECLINED);
+      if (!bytes.includes('/long')) socket.write(COMPLETE_RESPONSE);
+      else socket.pause().write(DECLINED_RESPONSE);
     });
   });
 }
 
-/** @returns A target that answers nothing at one path. */
-function listenMute() {
+/** @returns A target that never responds to requests for `/mute`. */
+function listenUnresponsive() {
   return listen(socket => {
     socket.on('error', () => socket.destroy());
     socket.on('data', bytes => {
-      if (!bytes.includes('/mute')) socket.write(WHOLE);
+      if (!bytes.includes('/mute')) socket.write(COMPLETE_RESPONSE);
     });
   });
 }
 
-// A caller waits until its time is over: its request was sent to a server that
-// lost its power, which closes no connection, and is back under the id it had.
-// What was sent to the run before is over as soon as the list tells of the new one.
-test('what was sent to a run that is over does not wait for it', async t => {
-  await using raw = await listenMute();
+// Guards against a caller that waits until its deadline for a server that was
+// restarted. The server lost power, which closes no connection, and is back
+// under the same id. Requests sent to the earlier incarnation must end as soon
+// as the list of targets contains the new one.
+test('a request ends when the target server is restarted', async t => {
+  await using raw = await listenUnresponsive();
   const context = newContext();
   const before = runOf('i-1', 1000, {address: raw.address});
   context.directory.put(before);
@@ -158,11 +165,12 @@
   t.is(context.loads.at(targetKey(before.id)).online, 0);
 });
 
-// A sound answer is lost: the list tells once more of the run that makes it, or,
-// late, of the run before.
-test('a run goes on when the list repeats it or tells of an older one', async t => {
+// Guards against the loss of a valid response: the list of targets repeats the
+// current incarnation or, out of date, an earlier one. Neither may end the
+// request.
+test('a request outlives a repeated or outdated list entry', async t => {
   await using raw = await listen(socket => {
-    void setTimeout(100).then(() => socket.write(WHOLE));
+    void setTimeout(100).then(() => socket.write(COMPLETE_RESPONSE));
   });
   const context = newContext();
   const now = runOf('i-1', 2000, {address: raw.address});
