--- a/packages/gateway/src/lib/connection/load_pace.ts
+++ b/packages/gateway/src/lib/connection/load_pace.ts
@@ -52,6 +52,7 @@
 export interface LoadIntervals {
   /** Interval for hosts of the same data centre. */
   readonly nearMs: number;
+  /** Interval for hosts of other data centres. */
   readonly farMs: number;
 }
 
--- a/packages/gateway/src/lib/request/exchange.ts
+++ b/packages/gateway/src/lib/request/exchange.ts
@@ -1,8 +1,8 @@
 /**
  * One request on one connection to a target, and its outcome. Only a complete
- * response of the target to this request is passed on. Rejected are responses
- * to another request, successes without a seal, bodies in an encoding that was
- * not requested, and responses that were truncated or reset.
+ * response of the target to this request is passed on. The exchange rejects
+ * responses to other requests, successes without a seal, bodies in an encoding
+ * that was not requested, and responses that were truncated or reset.
  */
 import type {IncomingHttpHeaders} from 'node:http';
 import {errors, type Dispatcher} from 'undici';
