--- a/packages/batch/src/lib/process/batch_worker.ts
+++ b/packages/batch/src/lib/process/batch_worker.ts
@@ -126,7 +126,7 @@
         ),
       ),
     );
-    this.store.add(runner.onRoom(() => this.pump()));
+    this.store.add(runner.onFreeCapacity(() => this.pump()));
     this.store.add(
       repeat(this.deps.clock, this.settings.pumpMs, () => this.pump()),
     );
--- a/packages/batch/src/lib/process/chunk_keeper.ts
+++ b/packages/batch/src/lib/process/chunk_keeper.ts
@@ -116,7 +116,7 @@
     );
     return job.row.pools.some(pool => {
       const ready = before.reduce((sum, c) => sum + c.ready.count(pool), 0);
-      return runner.room(pool) + settings.prefetchItems > ready;
+      return runner.freeCapacity(pool) + settings.prefetchItems > ready;
     });
   }
 
--- a/packages/batch/src/lib/process/item_history.ts
+++ b/packages/batch/src/lib/process/item_history.ts
@@ -1,12 +1,12 @@
 /** What earlier attempts at the items of a chunk have come to. */
-import type {Partial} from '@oathead/core';
+import type {PartialAnswer} from '@oathead/core';
 
 /** What earlier attempts at the items of a chunk have come to. */
 export class ItemHistory {
   private readonly attempts = new Map<number, number>();
   private readonly lost: Map<number, number>;
   private readonly returned = new Map<number, number>();
-  private readonly partials = new Map<number, Partial>();
+  private readonly partials = new Map<number, PartialAnswer>();
 
   /** @param losses - Lost attempts, by index, as the chunk's row has them. */
   constructor(losses: Readonly<Record<string, number>>) {
@@ -42,7 +42,7 @@
    * @param index - Index of an item.
    * @returns What an earlier attempt generated.
    */
-  partial(index: number): Partial | undefined {
+  partial(index: number): PartialAnswer | undefined {
     return this.partials.get(index);
   }
 
@@ -71,7 +71,7 @@
    * @param index - An item that was given back.
    * @param partial - What was generated of it.
    */
-  keepPartial(index: number, partial: Partial): void {
+  keepPartial(index: number, partial: PartialAnswer): void {
     this.partials.set(index, partial);
   }
 
--- a/packages/batch/src/lib/process/item_starter.ts
+++ b/packages/batch/src/lib/process/item_starter.ts
@@ -29,7 +29,7 @@
     const {chunks, runner, recorder} = this.deps;
     for (const pool of chunks.readyPools()) {
       // The runner does not know yet of items that wait for their claim.
-      let room = runner.room(pool) - chunks.claimed(pool);
+      let room = runner.freeCapacity(pool) - chunks.claimed(pool);
       while (room-- > 0 && this.startOne(pool));
     }
     for (const chunk of chunks.all()) recorder.kick(chunk);
--- a/packages/batch/src/test/fakes/fake_fleet.ts
+++ b/packages/batch/src/test/fakes/fake_fleet.ts
@@ -152,11 +152,11 @@
     private readonly member: FakeMember,
   ) {}
 
-  room(): number {
+  freeCapacity(): number {
     return this.fleet.room - this.running;
   }
 
-  onRoom(): Disposable {
+  onFreeCapacity(): Disposable {
     return {[Symbol.dispose]: () => {}};
   }
 
--- a/packages/bench/src/lib/process/limit_error.ts
+++ b/packages/bench/src/lib/process/limit_error.ts
@@ -3,7 +3,7 @@
  * each other seconds late, or not at all.
  */
 import {CallerLimits, seededRandom} from '@oathead/core';
-import type {CallerUse, LimitSpec, Random} from '@oathead/core';
+import type {CallerDemand, LimitSpec, Random} from '@oathead/core';
 
 /** How requests spread over entries. */
 export type Spread = 'even' | 'skewed' | 'moving';
@@ -85,21 +85,21 @@
 ): {readonly passed: number; readonly asked: number} {
   const random = seededRandom(seed);
   const entries = Array.from({length: count}, () => new CallerLimits(count));
-  for (const entry of entries) entry.declare(CALLER, SPEC, 0);
-  const news: {at: number; uses: readonly CallerUse[]}[] = [];
+  for (const entry of entries) entry.setLimit(CALLER, SPEC, 0);
+  const news: {at: number; uses: readonly CallerDemand[]}[] = [];
   let asked = 0;
   let through = 0;
   let tellAt = TELL_PERIOD_MS;
   for (let now = 0; now < DURATION_MS; now += MS_PER_SECOND / perSecond) {
     asked += 1;
     const entry = entries[PICK[spread](random, count, now)]!;
-    if (entry.begin(CALLER, 1, now) === undefined) {
-      entry.ended(CALLER, 0);
+    if (entry.admit(CALLER, 1, now) === undefined) {
+      entry.release(CALLER, 0);
       through += 1;
     }
     if (!told || now < tellAt) continue;
     tellAt = now + TELL_PERIOD_MS;
-    const uses = entries.map(one => one.use(now).get(CALLER)!);
+    const uses = entries.map(one => one.demand(now).get(CALLER)!);
     news.push({at: now + TELL_LAG_MS, uses});
     while (news.length > 0 && news[0]!.at <= now) {
       spreadNews(entries, news.shift()!.uses, now);
@@ -110,12 +110,12 @@
 
 function spreadNews(
   entries: readonly CallerLimits[],
-  uses: readonly CallerUse[],
+  uses: readonly CallerDemand[],
   now: number,
 ): void {
   const all = uses.reduce((sum, {requests}) => sum + requests, 0);
   for (const [at, entry] of entries.entries()) {
     const requests = all - uses[at]!.requests;
-    entry.learn(CALLER, {requests, tokens: 0, concurrent: 0}, now);
+    entry.applyPeerDemand(CALLER, {requests, tokens: 0, concurrent: 0}, now);
   }
 }
--- a/packages/bench/src/lib/process/policy_run.ts
+++ b/packages/bench/src/lib/process/policy_run.ts
@@ -186,7 +186,7 @@
       prefix: arrival.prefix?.name,
       tried,
     };
-    this.retries.requested();
+    this.retries.recordRequest();
     this.sendCall(
       {
         arrival,
@@ -215,7 +215,7 @@
     call.attempts += 1;
     call.target = target;
     call.tried.add(target);
-    this.chooser.sent(target, call.ask, now);
+    this.chooser.recordSent(target, call.ask, now);
     const id = `call-${this.nextCall}`;
     this.nextCall += 1;
     this.calls.set(id, call);
@@ -300,7 +300,7 @@
       this.figures.firstToken.record(seenAt - call.sentAt);
       // What the length of the prompt explains is not the target's doing.
       const own = (at - call.atTargetAt) / (100 + call.arrival.promptTokens);
-      this.chooser.health.answered(call.target, own, at);
+      this.chooser.health.recordSuccess(call.target, own, at);
     } else {
       this.figures.betweenTokens.record(at - call.lastTokenAt);
     }
@@ -330,7 +330,7 @@
     for (;;) {
       const target = this.chooser.choose(ask);
       if (target === undefined) return;
-      this.chooser.sent(target, ask, now);
+      this.chooser.recordSent(target, ask, now);
       const back = this.returned.shift();
       this.sendItem(back?.index ?? this.takeItem(now), back?.resumed ?? 0, {
         target,
@@ -410,14 +410,14 @@
         const call = this.calls.get(id)!;
         this.calls.delete(id);
         figures.failed += 1;
-        this.chooser.health.failed(target, at);
+        this.chooser.health.recordFailure(target, at);
         void call;
       },
       refused: ({admission: {id}}, refusal, at) => {
         const call = this.calls.get(id)!;
         this.calls.delete(id);
         this.at(at + back, now => {
-          this.chooser.refused(target);
+          this.chooser.recordRefusal(target);
           this.callRefused(call, refusal, now);
         });
       },
--- a/packages/config/src/lib/version/rollout_step.ts
+++ b/packages/config/src/lib/version/rollout_step.ts
@@ -1,5 +1,9 @@
 /** One model at one target on its way to a version, as far as it is known. */
-import {ROLLOUT_START, isOrderPending, nextRolloutState} from '@oathead/core';
+import {
+  INITIAL_ROLLOUT_STATE,
+  isOrderPending,
+  nextRolloutState,
+} from '@oathead/core';
 import type {
   OrderAction,
   RolloutEvent,
@@ -139,7 +143,7 @@
     model,
     target,
     wanted: '',
-    state: ROLLOUT_START,
+    state: INITIAL_ROLLOUT_STATE,
     since: now,
     orderedAt: -Infinity,
     reading: false,
--- a/packages/core/src/lib/connection/target_choice.ts
+++ b/packages/core/src/lib/connection/target_choice.ts
@@ -132,7 +132,7 @@
    * @param target - ID of the target.
    * @param acceptsNew - Whether new requests may be sent to it.
    */
-  allow(target: string, acceptsNew: boolean): void {
+  setAcceptsNew(target: string, acceptsNew: boolean): void {
     if (acceptsNew) this.blocked.delete(target);
     else this.blocked.add(target);
   }
@@ -154,7 +154,7 @@
    * @param req - Requirements of the request.
    * @param now - Current time, in milliseconds.
    */
-  sent(target: string, req: ChoiceRequest, now: number): void {
+  recordSent(target: string, req: ChoiceRequest, now: number): void {
     const {promptTokens} = req;
     const view = this.views.get(target);
     view?.sentSince.push({at: now, class: req.class, promptTokens});
@@ -167,7 +167,7 @@
    *
    * @param target - ID of the target that refused.
    */
-  refused(target: string): void {
+  recordRefusal(target: string): void {
     const view = this.views.get(target);
     if (view === undefined) return;
     const {onlineCapacity, onlineRunning} = view.report;
--- a/packages/core/src/lib/connection/target_health.ts
+++ b/packages/core/src/lib/connection/target_health.ts
@@ -68,7 +68,7 @@
    *     in milliseconds; the part that the prompt length explains is excluded.
    * @param now - Current time, in milliseconds.
    */
-  answered(target: string, latencyMs: number, now: number): void {
+  recordSuccess(target: string, latencyMs: number, now: number): void {
     const health = this.healthOf(target, now);
     const first = health.latencyMs === 0;
     const weight = first ? 1 : LATENCY_SMOOTHING;
@@ -83,7 +83,7 @@
    * @param target - ID of the target that failed.
    * @param now - Current time, in milliseconds.
    */
-  failed(target: string, now: number): void {
+  recordFailure(target: string, now: number): void {
     const health = this.healthOf(target, now);
     health.failures += (1 - health.failures) * FAILURE_SMOOTHING;
     this.update(health, now);
--- a/packages/core/src/lib/connection/target_machine.ts
+++ b/packages/core/src/lib/connection/target_machine.ts
@@ -68,19 +68,19 @@
 /** Effect of a state on traffic. */
 export interface TargetTraffic {
   /** Whether new requests may be sent. */
-  readonly takesNew: boolean;
+  readonly acceptsNew: boolean;
   /** Largest share of new requests, relative to 1 for a healthy target. */
   readonly maxShare: number;
 }
 
 /** Effect of each state on traffic. */
 export const TARGET_TRAFFIC: Readonly<Record<TargetState, TargetTraffic>> = {
-  probing: {takesNew: true, maxShare: 0.25},
-  healthy: {takesNew: true, maxShare: 1},
-  degraded: {takesNew: true, maxShare: 0.5},
-  suspected: {takesNew: false, maxShare: 0},
-  leaving: {takesNew: false, maxShare: 0},
-  gone: {takesNew: false, maxShare: 0},
+  probing: {acceptsNew: true, maxShare: 0.25},
+  healthy: {acceptsNew: true, maxShare: 1},
+  degraded: {acceptsNew: true, maxShare: 0.5},
+  suspected: {acceptsNew: false, maxShare: 0},
+  leaving: {acceptsNew: false, maxShare: 0},
+  gone: {acceptsNew: false, maxShare: 0},
 };
 
 /** @returns The initial state of a target. */
--- a/packages/core/src/lib/process/caller_limits.ts
+++ b/packages/core/src/lib/process/caller_limits.ts
@@ -21,7 +21,7 @@
 const DEMAND_SMOOTHING_MS = 5_000;
 
 /** Demand of one caller at one entry, including refused requests. */
-export interface CallerUse {
+export interface CallerDemand {
   /** Per second. */
   readonly requests: number;
   /** Per second. */
@@ -60,7 +60,7 @@
    * @param spec - Declared limits, for all entries together.
    * @param now - Current time, in milliseconds.
    */
-  declare(caller: string, spec: LimitSpec, now: number): void {
+  setLimit(caller: string, spec: LimitSpec, now: number): void {
     const known = this.byCaller.get(caller);
     if (known !== undefined) {
       known.spec = spec;
@@ -109,7 +109,7 @@
    * @returns The refusal, or undefined if the request is admitted; then {@link
    *     CallerLimits.ended} must be called when it ends.
    */
-  begin(caller: string, tokens: number, now: number): Refusal | undefined {
+  admit(caller: string, tokens: number, now: number): Refusal | undefined {
     const state = this.byCaller.get(caller);
     if (state === undefined) return undefined;
     this.refill(state, now);
@@ -139,7 +139,7 @@
    * @param unusedTokens - Tokens that were consumed on admission but not
    *     generated; they are refunded.
    */
-  ended(caller: string, unusedTokens: number): void {
+  release(caller: string, unusedTokens: number): void {
     const state = this.byCaller.get(caller);
     if (state === undefined) return;
     state.concurrent = Math.max(0, state.concurrent - 1);
@@ -152,7 +152,7 @@
    *     then is it worth a message to learn the share that other entries leave
    *     unused.
    */
-  isNear(caller: string): boolean {
+  isNearLimit(caller: string): boolean {
     const state = this.byCaller.get(caller);
     if (state === undefined) return false;
     const {spec, share, buckets, concurrent} = state;
@@ -168,8 +168,8 @@
    * @param now - Current time, in milliseconds.
    * @returns Recent demand at this entry of each caller with limits.
    */
-  use(now: number): ReadonlyMap<string, CallerUse> {
-    const demands = new Map<string, CallerUse>();
+  demand(now: number): ReadonlyMap<string, CallerDemand> {
+    const demands = new Map<string, CallerDemand>();
     const perSecond = MS_PER_SECOND / DEMAND_SMOOTHING_MS;
     for (const [caller, state] of this.byCaller) {
       this.refill(state, now);
@@ -190,7 +190,7 @@
    * @param others - Sum over the other entries.
    * @param now - Current time, in milliseconds.
    */
-  learn(caller: string, others: CallerUse, now: number): void {
+  applyPeerDemand(caller: string, others: CallerDemand, now: number): void {
     const state = this.byCaller.get(caller);
     if (state === undefined) return;
     this.refill(state, now);
--- a/packages/core/src/lib/process/engine_client.ts
+++ b/packages/core/src/lib/process/engine_client.ts
@@ -5,7 +5,7 @@
 import type {Order, OrderOutcome} from './order.js';
 import type {FinishReason, ServiceCall, Usage} from '../request/work.js';
 import type {Completion} from '../request/work.js';
-import type {Partial} from '../request/serve.js';
+import type {PartialAnswer} from '../request/serve.js';
 
 /** A request as an engine gets it. */
 export interface EngineRequest {
@@ -13,7 +13,7 @@
   readonly completion: Completion;
   readonly version?: string;
   /** Goes on behind these tokens. */
-  readonly resume?: Partial;
+  readonly resume?: PartialAnswer;
   readonly traceparent?: string;
 }
 
--- a/packages/core/src/lib/process/freshness_lease.ts
+++ b/packages/core/src/lib/process/freshness_lease.ts
@@ -26,7 +26,7 @@
 }
 
 /** A store request in flight that can renew the lease. */
-export interface FreshnessQuestion {
+export interface LeaseRenewal {
   readonly startedAt: ClockReadings;
   /** Latest version that the store had shown before the request. */
   readonly minVersion: number;
@@ -53,10 +53,10 @@
   constructor(private readonly context: FreshnessContext) {}
 
   /**
-   * @returns The argument for {@link prove}; to be taken before the store
+   * @returns The argument for {@link renew}; to be taken before the store
    *     request is sent.
    */
-  ask(): FreshnessQuestion {
+  startRenewal(): LeaseRenewal {
     const {readClocks, newestVersion} = this.context;
     return {startedAt: readClocks(), minVersion: newestVersion()};
   }
@@ -65,11 +65,11 @@
    * Renews the lease with a store response. A response with a version below the
    * one that was seen before the request is stale and does not renew the lease.
    *
-   * @param renewal - The request, as returned by {@link ask}.
+   * @param renewal - The request, as returned by {@link startRenewal}.
    * @param version - Latest version of the store according to the response.
    * @returns Whether the lease was renewed.
    */
-  prove({startedAt, minVersion}: FreshnessQuestion, version: number): boolean {
+  renew({startedAt, minVersion}: LeaseRenewal, version: number): boolean {
     if (version < minVersion) return false;
     // Responses may arrive out of order: the latest request counts.
     const isNewer = !this.renewedAt || startedAt[0]! >= this.renewedAt[0]!;
--- a/packages/core/src/lib/process/quota_keeper.ts
+++ b/packages/core/src/lib/process/quota_enforcer.ts
@@ -24,7 +24,7 @@
 }
 
 /** Token buckets by account. */
-export class QuotaKeeper {
+export class QuotaEnforcer {
   private readonly accounts = new Map<string, CountedAccount>();
   private sweptAt = -Infinity;
 
@@ -52,7 +52,7 @@
   }
 
   /** @param account - Name of an account, one of whose requests did not run. */
-  giveBack(account: string): void {
+  refund(account: string): void {
     this.accounts.get(account)?.bucket.refund();
   }
 
--- a/packages/core/src/lib/process/return_times.ts
+++ b/packages/core/src/lib/process/retry_scheduler.ts
@@ -20,7 +20,7 @@
   /** Number of hosts, including this one, that schedule retries there. */
   readonly hosts: number;
   /** Latest retry that the caller accepts, in milliseconds from now. */
-  readonly latestMs: number;
+  readonly maxDelayMs: number;
 }
 
 /**
@@ -56,7 +56,7 @@
 }
 
 /** Retry schedule of one host for one service. */
-export class ReturnTimes {
+export class RetryScheduler {
   private readonly durationsMs: number[] = [];
   private overload: Overload | undefined;
   private scheduledRetries: number[] = [];
@@ -74,7 +74,7 @@
    * @param context - The service, and how long the caller waits.
    * @returns The delay after which the caller should retry, in milliseconds.
    */
-  refuse(now: number, context: RetryContext): number {
+  scheduleRetry(now: number, context: RetryContext): number {
     const overload = this.overloadAt(now);
     const runMs = context.runMs ?? DEFAULT_RUN_MS;
     const elapsedMs = now - overload.startedAt;
@@ -86,7 +86,7 @@
     const position = this.scheduledRetries.length + this.random.float();
     const delayMs = Math.min(
       remainingMs + position * spacingMs,
-      context.latestMs,
+      context.maxDelayMs,
     );
     this.scheduledRetries.push(now + delayMs);
     return Math.round(delayMs);
--- a/packages/core/src/lib/request/batch_item.ts
+++ b/packages/core/src/lib/request/batch_item.ts
@@ -1,7 +1,7 @@
 /** Items of batch jobs, as passed from the batch worker to the dispatcher. */
 import type {Refusal} from './refusal.js';
 import type {Answer, Work} from './work.js';
-import type {Partial} from './serve.js';
+import type {PartialAnswer} from './serve.js';
 
 /** One item to run. */
 export interface BatchItem {
@@ -19,7 +19,7 @@
    * it may have caused the crash.
    */
   readonly suspect?: boolean;
-  readonly resume?: Partial;
+  readonly resume?: PartialAnswer;
 }
 
 /** Outcome of one attempt at an item. */
@@ -31,7 +31,7 @@
   | {
       readonly kind: 'returned';
       readonly refusal?: Refusal;
-      readonly partial?: Partial;
+      readonly partial?: PartialAnswer;
     }
   /**
    * The item may have run. If idempotent it is sent again, otherwise its
@@ -50,12 +50,12 @@
    * @param pool - Name of a model or service.
    * @returns The number of further items that its targets can accept now.
    */
-  room(pool: string): number;
+  freeCapacity(pool: string): number;
   /**
    * @param callback - Called when the free capacity may have grown.
    * @returns A disposable that removes the callback.
    */
-  onRoom(callback: () => void): Disposable;
+  onFreeCapacity(callback: () => void): Disposable;
   /**
    * Runs one attempt.
    *
--- a/packages/core/src/lib/request/waiting_places.ts
+++ b/packages/core/src/lib/request/queue_limits.ts
@@ -70,7 +70,7 @@
  * @returns The maximum number of requests, including this one, that may wait
  *     for the target.
  */
-export function waitingPlaces(
+export function maxQueueLength(
   slots: number,
   demand: WaitDemand,
   pace: ServicePace | undefined,
@@ -93,6 +93,6 @@
  * @param demand - A request for which no target has free capacity.
  * @returns The time that it waits before it is refused, in milliseconds.
  */
-export function patienceMs({goalMs, returning}: WaitDemand): number {
+export function maxQueueWaitMs({goalMs, returning}: WaitDemand): number {
   return goalMs * (returning ? RETRY_MAX_WAIT_FRACTION : MAX_WAIT_FRACTION);
 }
--- a/packages/core/src/lib/request/refusal.ts
+++ b/packages/core/src/lib/request/refusal.ts
@@ -7,7 +7,7 @@
  * Whether a refused request may have run. `not-run` is used only where no
  * engine or service can have received the request.
  */
-export type Ran = 'not-run' | 'may-have-run';
+export type RunStatus = 'not-run' | 'may-have-run';
 
 /** One validation error in a request. */
 export interface Problem {
@@ -18,7 +18,7 @@
 
 interface RefusalBase {
   readonly message: string;
-  readonly ran: Ran;
+  readonly ran: RunStatus;
   /** Delay after which a retry makes sense, in milliseconds. */
   readonly retryAfterMs?: number;
 }
--- a/packages/core/src/lib/request/retry_policy.ts
+++ b/packages/core/src/lib/request/retry_policy.ts
@@ -66,7 +66,7 @@
   }
 
   /** Adds the budget that a new request earns. */
-  requested(): void {
+  recordRequest(): void {
     const {budgetShare, burst} = this.options;
     this.budget = Math.min(burst, this.budget + budgetShare);
   }
--- a/packages/core/src/lib/request/serve.ts
+++ b/packages/core/src/lib/request/serve.ts
@@ -38,13 +38,13 @@
    */
   readonly suspect?: boolean;
   /** Tokens that another target generated before the request was preempted. */
-  readonly resume?: Partial;
+  readonly resume?: PartialAnswer;
   /** W3C trace context. */
   readonly traceparent?: string;
 }
 
 /** Output that was generated before a request was preempted. */
-export interface Partial {
+export interface PartialAnswer {
   readonly text: string;
   readonly tokens: number;
 }
@@ -63,7 +63,7 @@
   /** End of an answered request; `answer` is complete, also when streamed. */
   | {readonly kind: 'done'; readonly answer: Answer}
   /** End of a batch request that was preempted and can be resumed elsewhere. */
-  | {readonly kind: 'yielded'; readonly partial: Partial}
+  | {readonly kind: 'yielded'; readonly partial: PartialAnswer}
   /** End of a request that was not answered. */
   | {readonly kind: 'refused'; readonly refusal: Refusal};
 
@@ -77,7 +77,7 @@
  * @param event - Event from a target process.
  * @returns Whether the event is the last one of its request.
  */
-export function isFinal(event: ServeEvent): event is ServeOutcome {
+export function isFinalEvent(event: ServeEvent): event is ServeOutcome {
   return event.kind !== 'started' && event.kind !== 'tokens';
 }
 
--- a/packages/core/src/lib/request/target_request_machine.ts
+++ b/packages/core/src/lib/request/target_request_machine.ts
@@ -73,6 +73,6 @@
  * @returns Whether no engine can have received the request, so that it can be
  *     reported as not run.
  */
-export function isUnseen(state: TargetRequestState): boolean {
+export function isUnseenByEngine(state: TargetRequestState): boolean {
   return state === 'waiting';
 }
--- a/packages/core/src/lib/version/rollout_machine.ts
+++ b/packages/core/src/lib/version/rollout_machine.ts
@@ -118,7 +118,7 @@
 });
 
 /** Initial state of a rollout. */
-export const ROLLOUT_START: RolloutState = 'wanting';
+export const INITIAL_ROLLOUT_STATE: RolloutState = 'wanting';
 
 /**
  * @param state - Current state of a rollout.
--- a/packages/core/src/test/connection/target_choice_test.ts
+++ b/packages/core/src/test/connection/target_choice_test.ts
@@ -66,7 +66,7 @@
   for (let i = 0; i < count; i++) {
     const target = chooser.choose(req);
     if (target === undefined) continue;
-    chooser.sent(target, req, 1);
+    chooser.recordSent(target, req, 1);
     counts.set(target, (counts.get(target) ?? 0) + 1);
   }
   return counts;
@@ -93,7 +93,7 @@
     report('t3', {versions: []}),
     report('t4'),
   );
-  chooser.allow('t4', false);
+  chooser.setAcceptsNew('t4', false);
   t.is(chooser.choose(choiceRequest({tried: new Set(['t2'])})), undefined);
   t.is(chooser.choose(choiceRequest()), 't2');
 });
--- a/packages/core/src/test/connection/target_health_test.ts
+++ b/packages/core/src/test/connection/target_health_test.ts
@@ -12,9 +12,9 @@
 ): number {
   const end = from + seconds * 1000;
   for (let now = from; now < end; now += 100) {
-    health.answered('t0', QUICK_MS, now);
-    health.answered('t1', QUICK_MS, now);
-    health.answered('t2', lastMs, now);
+    health.recordSuccess('t0', QUICK_MS, now);
+    health.recordSuccess('t1', QUICK_MS, now);
+    health.recordSuccess('t2', lastMs, now);
   }
   return end;
 }
@@ -40,7 +40,7 @@
 test('a failing target keeps a small share and regains more over time', t => {
   const health = new TargetHealth();
   let now = 0;
-  for (; now < 10_000; now += 100) health.failed('t0', now);
+  for (; now < 10_000; now += 100) health.recordFailure('t0', now);
   const low = health.share('t0');
   t.true(low > 0 && low < 0.1);
   for (; now < 300_000; now += 1000) health.tick(now);
@@ -53,8 +53,8 @@
 test('a target that only fails does not make the others look slow', t => {
   const health = new TargetHealth();
   for (let now = 0; now < 4000; now += 50) {
-    health.answered('well', QUICK_MS, now);
-    health.failed('failing', now);
+    health.recordSuccess('well', QUICK_MS, now);
+    health.recordFailure('failing', now);
     if (now % 1000 === 0) health.tick(now);
   }
   t.is(health.share('well'), 1);
--- a/packages/core/src/test/connection/target_machine_test.ts
+++ b/packages/core/src/test/connection/target_machine_test.ts
@@ -22,13 +22,13 @@
 
 test('a silent target gets no new requests until it replies', t => {
   t.is(after('replied', 'silent'), 'suspected');
-  t.false(TARGET_TRAFFIC[after('replied', 'silent')].takesNew);
+  t.false(TARGET_TRAFFIC[after('replied', 'silent')].acceptsNew);
   t.is(after('replied', 'silent', 'replied'), 'probing');
 });
 
 test('heartbeats do not end the draining of a target', t => {
   t.is(after('replied', 'leave', 'replied', 'recovered'), 'leaving');
-  t.false(TARGET_TRAFFIC.leaving.takesNew);
+  t.false(TARGET_TRAFFIC.leaving.acceptsNew);
   t.is(after('replied', 'leave', 'stay'), 'probing');
   t.is(after('replied', 'leave', 'removed', 'replied'), 'gone');
 });
--- a/packages/core/src/test/process/freshness_lease_test.ts
+++ b/packages/core/src/test/process/freshness_lease_test.ts
@@ -56,9 +56,9 @@
 test('the lease counts from before the request', t => {
   const clocks = new Clocks();
   const {lease} = newLease(clocks);
-  const renewal = lease.ask();
+  const renewal = lease.startRenewal();
   clocks.advance(LEASE_MS - 1);
-  lease.prove(renewal, 1);
+  lease.renew(renewal, 1);
   t.true(lease.isValid);
   clocks.advance(2);
   t.false(lease.isValid);
@@ -69,7 +69,7 @@
 test('the lease expires while the monotonic clock stands still', t => {
   const clocks = new Clocks();
   const {lease} = newLease(clocks);
-  lease.prove(lease.ask(), 1);
+  lease.renew(lease.startRenewal(), 1);
   clocks.suspend(LEASE_MS + 1);
   t.false(lease.isValid);
 });
@@ -78,7 +78,7 @@
 test('setting the time of day back does not extend the lease of a running host', t => {
   const clocks = new Clocks();
   const {lease} = newLease(clocks);
-  lease.prove(lease.ask(), 1);
+  lease.renew(lease.startRenewal(), 1);
   clocks.advance(LEASE_MS + 1);
   clocks.setTimeOfDay(-LEASE_MS * 2);
   t.false(lease.isValid);
@@ -89,10 +89,10 @@
   const clocks = new Clocks();
   const {lease, store} = newLease(clocks);
   store.newest = 20;
-  const renewal = lease.ask();
-  t.false(lease.prove(renewal, 19));
+  const renewal = lease.startRenewal();
+  t.false(lease.renew(renewal, 19));
   t.false(lease.isValid);
-  t.true(lease.prove(renewal, 20));
+  t.true(lease.renew(renewal, 20));
 });
 
 type Step =
@@ -133,7 +133,8 @@
   let longest = 0;
   let setBack = false;
   let pending:
-    {renewal: ReturnType<typeof lease.ask>; isRevoked: boolean} | undefined;
+    | {renewal: ReturnType<typeof lease.startRenewal>; isRevoked: boolean}
+    | undefined;
   const act: Record<Step['kind'], (ms: number) => void> = {
     pass: ms => {
       clocks.advance(ms);
@@ -153,15 +154,16 @@
     },
     ask: () => {
       pending = {
-        renewal: lease.ask(),
+        renewal: lease.startRenewal(),
         isRevoked: revokedAt !== undefined,
       };
     },
     answer: () => {
       if (!pending) return;
       knowsRevocation ||= pending.isRevoked;
-      const from = countFrom === 'question' ? pending.renewal : lease.ask();
-      lease.prove(from, 1);
+      const from =
+        countFrom === 'question' ? pending.renewal : lease.startRenewal();
+      lease.renew(from, 1);
       pending = undefined;
     },
     lose: () => {
--- a/packages/core/src/test/request/burst_replay_test.ts
+++ b/packages/core/src/test/request/burst_replay_test.ts
@@ -1,8 +1,8 @@
 import test from 'ava';
 import {
-  ReturnTimes,
-  patienceMs,
-  waitingPlaces,
+  RetryScheduler,
+  maxQueueWaitMs,
+  maxQueueLength,
   type Random,
   type ServicePace,
   type WaitDemand,
@@ -88,13 +88,18 @@
 const adaptivePolicy =
   ({slots, targets, hosts}: Omit<BurstLoad, 'seed'>) =>
   (random: Random): BurstPolicy => {
-    const retries = new ReturnTimes(random);
+    const retries = new RetryScheduler(random);
     return {
       maxQueueLength: (demand: WaitDemand, pace?: ServicePace) =>
-        waitingPlaces(slots, demand, pace),
-      maxQueueWaitMs: patienceMs,
+        maxQueueLength(slots, demand, pace),
+      maxQueueWaitMs: maxQueueWaitMs,
       returnAfterMs: (now, latestMs, runMs) =>
-        retries.refuse(now, {runMs, slots: slots * targets, hosts, latestMs}),
+        retries.scheduleRetry(now, {
+          runMs,
+          slots: slots * targets,
+          hosts,
+          maxDelayMs: latestMs,
+        }),
     };
   };
 
--- a/packages/core/src/test/request/retry_policy_test.ts
+++ b/packages/core/src/test/request/retry_policy_test.ts
@@ -42,7 +42,7 @@
   const policy = new RetryPolicy();
   let retries = 0;
   for (let i = 0; i < 1000; i++) {
-    policy.requested();
+    policy.recordRequest();
     if (policy.decide(OVERLOADED, FRESH).retry) retries += 1;
   }
   t.true(retries <= 110, `${retries} retries`);
--- a/packages/core/src/test/request/target_request_machine_test.ts
+++ b/packages/core/src/test/request/target_request_machine_test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import {
   initialTargetRequest,
-  isUnseen,
+  isUnseenByEngine,
   stepTargetRequest,
 } from '../../lib/request/target_request_machine.js';
 import type {
@@ -33,9 +33,9 @@
 });
 
 test('only a request that never started is unseen by the engine', t => {
-  t.true(isUnseen(initialTargetRequest().value as TargetRequestState));
+  t.true(isUnseenByEngine(initialTargetRequest().value as TargetRequestState));
   const states = statesOf('start', 'first-token', 'preempt', 'freed', 'end');
-  t.false(states.some(isUnseen));
+  t.false(states.some(isUnseenByEngine));
 });
 
 test('an event without a transition changes nothing', t => {
--- a/packages/core/src/test/version/rollout_machine_test.ts
+++ b/packages/core/src/test/version/rollout_machine_test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import {
-  ROLLOUT_START,
+  INITIAL_ROLLOUT_STATE,
   isOrderPending,
   nextRolloutState,
 } from '../../lib/version/rollout_machine.js';
@@ -17,7 +17,7 @@
 function statesAfter(
   ...events: readonly RolloutEvent[]
 ): readonly RolloutState[] {
-  let state = ROLLOUT_START;
+  let state = INITIAL_ROLLOUT_STATE;
   return events.map(event => (state = nextRolloutState(state, event)));
 }
 
--- a/packages/entry/src/lib/connection/target_fleet.ts
+++ b/packages/entry/src/lib/connection/target_fleet.ts
@@ -120,7 +120,7 @@
     if (targetId === undefined) return undefined;
     const connection = this.connections.get(targetId);
     if (!connection) return undefined;
-    this.chooser.sent(targetId, req, this.options.clock.now());
+    this.chooser.recordSent(targetId, req, this.options.clock.now());
     return this.attempt(targetId, connection.link);
   }
 
@@ -194,7 +194,7 @@
       targetId,
       link,
       firstToken: () =>
-        health.answered(targetId, clock.now() - sentAt, clock.now()),
+        health.recordSuccess(targetId, clock.now() - sentAt, clock.now()),
       ended: outcome => this.ended(targetId, outcome),
     };
   }
@@ -202,9 +202,9 @@
   private ended(targetId: string, outcome: ServeOutcome | undefined): void {
     if (!outcome || outcome.kind !== 'refused') return;
     const {kind, ran} = outcome.refusal;
-    if (kind === 'overloaded') this.chooser.refused(targetId);
+    if (kind === 'overloaded') this.chooser.recordRefusal(targetId);
     if (ran === 'may-have-run' && TARGET_FAULTS.has(kind)) {
-      this.chooser.health.failed(targetId, this.options.clock.now());
+      this.chooser.health.recordFailure(targetId, this.options.clock.now());
     }
   }
 
@@ -306,7 +306,7 @@
       leaving: () => this.isLeaving(targetId),
       onReport: report => this.reported(report),
       onState: state => {
-        chooser.allow(targetId, TARGET_TRAFFIC[state].takesNew);
+        chooser.setAcceptsNew(targetId, TARGET_TRAFFIC[state].acceptsNew);
         if (state === 'suspected') options.board.lostTarget(targetId);
       },
       readOrderFence: () => this.readOrderFence(),
--- a/packages/entry/src/lib/process/limit_gate.ts
+++ b/packages/entry/src/lib/process/limit_gate.ts
@@ -8,11 +8,11 @@
   DisposableStore,
   LinkLostError,
   estimatePromptTokens,
-  isFinal,
+  isFinalEvent,
   repeat,
 } from '@oathead/core';
 import type {
-  CallerUse,
+  CallerDemand,
   Clock,
   ConfigSnapshot,
   ConfigView,
@@ -25,7 +25,7 @@
 /** What one caller asks of one entry, or of several. */
 export interface UseReport {
   readonly caller: string;
-  readonly use: CallerUse;
+  readonly use: CallerDemand;
 }
 
 /** What one entry tells the home of some callers. */
@@ -53,10 +53,10 @@
 const EXCHANGE_MS = 1000;
 /** A demand that was not told again for so long is over, in milliseconds. */
 const USE_LASTS_MS = 5000;
-const NO_USE: CallerUse = {requests: 0, tokens: 0, concurrent: 0};
+const NO_USE: CallerDemand = {requests: 0, tokens: 0, concurrent: 0};
 
 interface TimedUse {
-  readonly use: CallerUse;
+  readonly use: CallerDemand;
   readonly at: number;
 }
 
@@ -118,8 +118,8 @@
   ): AsyncGenerator<ServeEvent> {
     const {clock} = this.deps;
     const asked = tokensOf(call.work);
-    const refusal = this.limits.begin(call.caller, asked, clock.now());
-    if (this.limits.isNear(call.caller)) this.near.add(call.caller);
+    const refusal = this.limits.admit(call.caller, asked, clock.now());
+    if (this.limits.isNearLimit(call.caller)) this.near.add(call.caller);
     if (refusal) {
       yield {kind: 'refused', refusal};
       return;
@@ -127,18 +127,18 @@
     let used = 0;
     try {
       for await (const event of serve(call, signal)) {
-        if (isFinal(event)) used = usedTokens(event, asked);
+        if (isFinalEvent(event)) used = usedTokens(event, asked);
         yield event;
       }
     } finally {
-      this.limits.ended(call.caller, asked - used);
+      this.limits.release(call.caller, asked - used);
     }
   }
 
   private declare(snapshot: ConfigSnapshot): void {
     const now = this.deps.clock.now();
     const declared = snapshot.all('limits');
-    for (const {name, spec} of declared) this.limits.declare(name, spec, now);
+    for (const {name, spec} of declared) this.limits.setLimit(name, spec, now);
     const names = new Set(declared.map(({name}) => name));
     for (const name of this.declared) {
       if (!names.has(name)) this.limits.remove(name);
@@ -163,7 +163,7 @@
     const told = {entryId: membership.entryId, reports};
     const others = await this.tell(home, told);
     for (const {caller, use} of others) {
-      this.limits.learn(caller, use, clock.now());
+      this.limits.applyPeerDemand(caller, use, clock.now());
     }
   }
 
@@ -183,7 +183,7 @@
 
   private reportsByHome(): ReadonlyMap<Peer, readonly UseReport[]> {
     const {membership, clock} = this.deps;
-    const uses = this.limits.use(clock.now());
+    const uses = this.limits.demand(clock.now());
     const byHome = new Map<Peer, UseReport[]>();
     for (const caller of this.near) {
       const home = membership.ownerOf(membership.shareOf(caller));
@@ -209,7 +209,7 @@
   byEntry: ReadonlyMap<string, TimedUse>,
   entryId: string,
   now: number,
-): CallerUse {
+): CallerDemand {
   let sum = NO_USE;
   for (const [other, {use, at}] of byEntry) {
     if (other === entryId || now - at > USE_LASTS_MS) continue;
--- a/packages/entry/src/lib/request/batch_runner.ts
+++ b/packages/entry/src/lib/request/batch_runner.ts
@@ -8,7 +8,7 @@
   Refusal,
   ServeOutcome,
 } from '@oathead/core';
-import {isFinal} from '@oathead/core';
+import {isFinalEvent} from '@oathead/core';
 import type {TargetFleet} from '../connection/target_fleet.js';
 import type {Serve, ServeCall} from './online_call.js';
 
@@ -43,18 +43,18 @@
   /** @param deps - The fleet and the way to it. */
   constructor(private readonly deps: BatchRunnerDeps) {}
 
-  room(pool: string): number {
+  freeCapacity(pool: string): number {
     return this.deps.fleet.batchRoom(pool);
   }
 
-  onRoom(callback: () => void): Disposable {
+  onFreeCapacity(callback: () => void): Disposable {
     return this.deps.fleet.onRoom(callback);
   }
 
   async run(item: BatchItem, signal: AbortSignal): Promise<ItemOutcome> {
     const call = this.callOf(item);
     for await (const event of this.deps.dispatch(call, signal)) {
-      if (isFinal(event)) return itemOutcome(event);
+      if (isFinalEvent(event)) return itemOutcome(event);
     }
     return {kind: 'lost', refusal: ABANDONED, suspect: false};
   }
--- a/packages/entry/src/lib/request/completion_routes.ts
+++ b/packages/entry/src/lib/request/completion_routes.ts
@@ -1,5 +1,5 @@
 /** Routes for completions: whole answers and streams. */
-import {isFinal, notRun} from '@oathead/core';
+import {isFinalEvent, notRun} from '@oathead/core';
 import type {
   ConfigView,
   Refusal,
@@ -141,7 +141,7 @@
 ): Promise<ApiResponse> {
   const iterator = events[Symbol.asyncIterator]();
   const first = await firstPart(iterator);
-  if (isFinal(first) && first.kind !== 'done') {
+  if (isFinalEvent(first) && first.kind !== 'done') {
     return refusalResponse(refusalOf(first));
   }
   return {
@@ -178,7 +178,7 @@
         if (rest !== '') yield data(format.part(head, rest));
         yield data(format.last(head, event)) + 'data: [DONE]\n\n';
         return;
-      } else if (isFinal(event)) {
+      } else if (isFinalEvent(event)) {
         yield errorEvent(refusalOf(event));
         return;
       }
--- a/packages/entry/src/lib/request/dispatcher.ts
+++ b/packages/entry/src/lib/request/dispatcher.ts
@@ -6,7 +6,7 @@
   LinkLostError,
   estimatePromptTokens,
   inputText,
-  isFinal,
+  isFinalEvent,
   mayHaveRun,
   notRun,
   poolOf,
@@ -15,8 +15,8 @@
 import type {
   Clock,
   Counters,
-  Partial,
-  Ran,
+  PartialAnswer,
+  RunStatus,
   Refusal,
   RetryPolicy,
   ServeEvent,
@@ -72,8 +72,8 @@
   private readonly tried = new Set<string>();
   private readonly span: Span;
   private readonly promptTokens: number;
-  private partial: Partial;
-  private ran: Ran = 'not-run';
+  private partial: PartialAnswer;
+  private ran: RunStatus = 'not-run';
   private started = false;
   private attempts = 0;
   private alone: boolean;
@@ -113,7 +113,7 @@
   > {
     const blocked = this.checkSuspect();
     if (blocked) return blocked;
-    this.deps.retries.requested();
+    this.deps.retries.recordRequest();
     let last: Refusal | undefined;
     for (;;) {
       if (this.remainingMs() <= 0) return this.expired();
@@ -155,7 +155,7 @@
     try {
       const events = attempt.link.serve(this.request(), stop.signal);
       for await (const event of events) {
-        if (isFinal(event)) {
+        if (isFinalEvent(event)) {
           outcome = event;
           return {kind: 'outcome', outcome};
         }
--- a/packages/entry/src/lib/request/event_log.ts
+++ b/packages/entry/src/lib/request/event_log.ts
@@ -2,7 +2,7 @@
  * The events of one running request, for any number of readers: the caller who
  * sent it and those who sent it again.
  */
-import {isFinal} from '@oathead/core';
+import {isFinalEvent} from '@oathead/core';
 import type {ServeEvent, ServeOutcome} from '@oathead/core';
 
 /** Collects events and replays them to each reader from the start. */
@@ -25,7 +25,7 @@
   /** @param event - The next event; none may follow a final one. */
   push(event: ServeEvent): void {
     this.events.push(event);
-    if (isFinal(event)) this.end = event;
+    if (isFinalEvent(event)) this.end = event;
     for (const wake of this.waiting) wake();
     this.waiting.clear();
   }
@@ -44,7 +44,7 @@
         const event = this.events[next];
         if (!event) return;
         yield event;
-        if (isFinal(event)) return;
+        if (isFinalEvent(event)) return;
       }
     } finally {
       this.readers--;
--- a/packages/entry/src/lib/request/keyed_requests.ts
+++ b/packages/entry/src/lib/request/keyed_requests.ts
@@ -8,7 +8,7 @@
  * candidates for a key are the same two targets for everyone, and the claim of
  * a non-idempotent request is a row of the table.
  */
-import {isFinal, mayHaveRun, notRun, workFingerprint} from '@oathead/core';
+import {isFinalEvent, mayHaveRun, notRun, workFingerprint} from '@oathead/core';
 import type {
   Clock,
   Counters,
@@ -259,7 +259,7 @@
       return;
     }
     for await (const event of this.deps.dispatch(call, NEVER)) {
-      if (isFinal(event)) this.record(call, work, event);
+      if (isFinalEvent(event)) this.record(call, work, event);
       log.push(event);
     }
     if (!call.idempotent) await this.releaseUnsent(call, log.outcome);
--- a/packages/entry/src/lib/request/online_call.ts
+++ b/packages/entry/src/lib/request/online_call.ts
@@ -1,5 +1,5 @@
 /** One online request, as the parts of an entry hand it on. */
-import type {Partial, ServeClass, ServeEvent, Work} from '@oathead/core';
+import type {PartialAnswer, ServeClass, ServeEvent, Work} from '@oathead/core';
 
 /** A request that has passed the API's checks. */
 export interface ServeCall {
@@ -14,7 +14,7 @@
   readonly deadline: number;
   readonly stream: boolean;
   readonly suspect?: boolean;
-  readonly resume?: Partial;
+  readonly resume?: PartialAnswer;
   readonly traceparent?: string;
 }
 
--- a/packages/entry/src/lib/request/online_service.ts
+++ b/packages/entry/src/lib/request/online_service.ts
@@ -2,7 +2,7 @@
  * Serves one online request: within the caller's limits, at the home of its
  * key if it has one, and otherwise straight at a target.
  */
-import {LinkLostError, isFinal, mayHaveRun} from '@oathead/core';
+import {LinkLostError, isFinalEvent, mayHaveRun} from '@oathead/core';
 import type {Counters, ServeEvent} from '@oathead/core';
 import type {Membership, Peer} from '@oathead/membership';
 import type {KeyedCall, KeyedRequests} from './keyed_requests.js';
@@ -49,7 +49,7 @@
   ): AsyncGenerator<ServeEvent> {
     let ended = false;
     for await (const event of this.route(call, signal)) {
-      ended = isFinal(event);
+      ended = isFinalEvent(event);
       yield event;
       if (ended) return;
     }
@@ -88,7 +88,7 @@
       for await (const event of this.deps.peers.forward(home, call, signal)) {
         delivered.note(event);
         yield event;
-        if (isFinal(event)) return;
+        if (isFinalEvent(event)) return;
       }
       if (signal.aborted) return;
     } catch (err) {
--- a/packages/entry/src/lib/request/outcome_of.ts
+++ b/packages/entry/src/lib/request/outcome_of.ts
@@ -1,5 +1,5 @@
 /** The end of a request, from its events. */
-import {isFinal, mayHaveRun} from '@oathead/core';
+import {isFinalEvent, mayHaveRun} from '@oathead/core';
 import type {Refusal, ServeEvent, ServeOutcome} from '@oathead/core';
 
 /** The refusal of a request whose caller has gone. */
@@ -12,7 +12,7 @@
 export async function outcomeOf(
   events: AsyncIterable<ServeEvent>,
 ): Promise<ServeOutcome> {
-  for await (const event of events) if (isFinal(event)) return event;
+  for await (const event of events) if (isFinalEvent(event)) return event;
   return {kind: 'refused', refusal: GIVEN_UP};
 }
 
--- a/packages/entry/src/lib/request/splice.ts
+++ b/packages/entry/src/lib/request/splice.ts
@@ -2,7 +2,7 @@
  * Goes on with a stream from another source, behind what the caller already
  * has. The other source tells the answer from its start.
  */
-import {isFinal, mayHaveRun} from '@oathead/core';
+import {isFinalEvent, mayHaveRun} from '@oathead/core';
 import type {ServeEvent} from '@oathead/core';
 
 /** What a caller has been sent so far. */
@@ -38,7 +38,7 @@
         if (!this.started) yield event;
         continue;
       }
-      if (isFinal(event)) {
+      if (isFinalEvent(event)) {
         yield this.agrees(event) ? event : ANOTHER_ANSWER;
         return;
       }
--- a/packages/entry/src/test/fakes.ts
+++ b/packages/entry/src/test/fakes.ts
@@ -1,5 +1,5 @@
 /** Small fakes at the interfaces of an entry. */
-import {LinkLostError, isFinal, notRun} from '@oathead/core';
+import {LinkLostError, isFinalEvent, notRun} from '@oathead/core';
 import type {ServeEvent, ServeOutcome, ServeRequest, Work} from '@oathead/core';
 import type {Membership, Peer} from '@oathead/membership';
 import type {ReportingLink} from '@oathead/wire';
@@ -95,7 +95,7 @@
 /** @returns How a request ended, in a word or two. */
 export function endText(events: readonly ServeEvent[]): string {
   const last = events.at(-1);
-  if (!last || !isFinal(last)) return 'no end';
+  if (!last || !isFinalEvent(last)) return 'no end';
   if (last.kind !== 'refused') return last.kind;
   return `${last.refusal.kind} ${last.refusal.ran}`;
 }
--- a/packages/gateway/src/lib/connection/connection_pool.ts
+++ b/packages/gateway/src/lib/connection/connection_pool.ts
@@ -64,7 +64,7 @@
    * @param targetId - A target that no longer exists. Its idle connections are
    *     closed.
    */
-  forget(targetId: string): void {
+  closeIdle(targetId: string): void {
     for (const connection of this.idle.get(targetId) ?? [])
       connection[Symbol.dispose]();
     this.idle.delete(targetId);
@@ -72,6 +72,6 @@
 
   /** Closes all idle connections. */
   [Symbol.dispose](): void {
-    for (const targetId of [...this.idle.keys()]) this.forget(targetId);
+    for (const targetId of [...this.idle.keys()]) this.closeIdle(targetId);
   }
 }
--- a/packages/gateway/src/lib/connection/load_exchange.ts
+++ b/packages/gateway/src/lib/connection/load_exchange.ts
@@ -5,11 +5,11 @@
 import {repeat, type Clock, type EventLog, type Random} from '@oathead/core';
 import type {LoadTable} from '../process/load_table.js';
 import {
-  DEFAULT_LOAD_TELLING,
-  LoadTelling,
+  DEFAULT_LOAD_REPORT_OPTIONS,
+  LoadReporter,
   type LoadPeer,
-  type LoadTellingOptions,
-} from '../process/load_telling.js';
+  type LoadReportOptions,
+} from '../process/load_reporter.js';
 import type {HostAddress, HostSocket} from './host_socket.js';
 import {decodeLoad, encodeLoad, LOAD_FORMAT} from './load_message.js';
 
@@ -30,7 +30,7 @@
 
 /** Sends and receives load reports until disposed. */
 export class LoadExchange implements Disposable {
-  private readonly reporter: LoadTelling<HostPeer>;
+  private readonly reporter: LoadReporter<HostPeer>;
   private timer: Disposable | undefined;
   private coordinatorId: string | undefined;
 
@@ -40,10 +40,10 @@
    */
   constructor(
     private readonly context: LoadExchangeContext,
-    private readonly options: LoadTellingOptions = DEFAULT_LOAD_TELLING,
+    private readonly options: LoadReportOptions = DEFAULT_LOAD_REPORT_OPTIONS,
   ) {
     const now = () => context.clock.now();
-    this.reporter = new LoadTelling({...context, now}, options);
+    this.reporter = new LoadReporter({...context, now}, options);
     context.socket.setHandler(LOAD_FORMAT, datagram => this.receive(datagram));
   }
 
@@ -76,7 +76,7 @@
 
   private tick(): void {
     const {socket, peers} = this.context;
-    for (const outgoing of this.reporter.due(peers())) {
+    for (const outgoing of this.reporter.takeDueReports(peers())) {
       const {message, peers} = outgoing;
       const messageType = message.sumOf > 0 ? 'data-centre-load' : 'load';
       socket.send(encodeLoad(message), peers, messageType);
@@ -93,7 +93,7 @@
 
   private receive(datagram: Uint8Array): boolean {
     const message = decodeLoad(datagram);
-    if (message) this.reporter.hear(message);
+    if (message) this.reporter.receive(message);
     return message !== undefined;
   }
 }
--- a/packages/gateway/src/lib/connection/load_pace.ts
+++ b/packages/gateway/src/lib/connection/load_intervals.ts
@@ -93,7 +93,7 @@
  * @returns The distribution to use: direct, or relayed where direct reports to
  *     other data centres would be too infrequent.
  */
-export function loadPlan(
+export function planLoadReports(
   localHosts: number,
   remoteHosts: number,
   remoteDataCentres: number,
--- a/packages/gateway/src/lib/connection/placement_exchange.ts
+++ b/packages/gateway/src/lib/connection/placement_exchange.ts
@@ -15,7 +15,7 @@
  * @returns The placement of this host, which also replies to requests of other
  *     hosts.
  */
-export function placementOver(
+export function createPlacement(
   socket: HostSocket,
   context: Omit<PlacementContext<HostPeer>, 'send'>,
 ): Placement<HostPeer> {
@@ -26,7 +26,7 @@
   });
   socket.setHandler(PLACEMENT_FORMAT, datagram => {
     const message = decodePlacement(datagram);
-    if (message) placement.hear(message);
+    if (message) placement.receive(message);
     return message !== undefined;
   });
   return placement;
--- a/packages/gateway/src/lib/connection/placement_message.ts
+++ b/packages/gateway/src/lib/connection/placement_message.ts
@@ -74,9 +74,9 @@
 const DATAGRAM = z.tuple([z.literal(PLACEMENT_FORMAT), MESSAGE]);
 
 /** Requirements on the slot that is requested. */
-export type PlaceWish = Readonly<z.infer<typeof CRITERIA>>;
+export type PlacementCriteria = Readonly<z.infer<typeof CRITERIA>>;
 /** Requests a slot. */
-export type PlaceAsk = Readonly<z.infer<typeof REQUEST>>;
+export type PlacementRequest = Readonly<z.infer<typeof REQUEST>>;
 /** All messages about placement. */
 export type PlacementMessage = Readonly<z.infer<typeof MESSAGE>>;
 
--- a/packages/gateway/src/lib/connection/quota_exchange.ts
+++ b/packages/gateway/src/lib/connection/quota_exchange.ts
@@ -12,7 +12,7 @@
  * @returns The account quotas of this host, which also reply to requests of
  *     other hosts.
  */
-export function quotasOver(
+export function createAccountQuotas(
   socket: HostSocket,
   context: Omit<AccountQuotasContext, 'send'>,
 ): AccountQuotas {
@@ -23,7 +23,7 @@
   });
   socket.setHandler(QUOTA_FORMAT, datagram => {
     const message = decodeQuota(datagram);
-    if (message) quotas.hear(message);
+    if (message) quotas.receive(message);
     return message !== undefined;
   });
   return quotas;
--- a/packages/gateway/src/lib/connection/quota_message.ts
+++ b/packages/gateway/src/lib/connection/quota_message.ts
@@ -47,9 +47,9 @@
 const DATAGRAM = z.tuple([z.literal(QUOTA_FORMAT), MESSAGE]);
 
 /** Asks whether one more request of an account may run. */
-export type QuotaAsk = Readonly<z.infer<typeof REQUEST>>;
+export type QuotaRequest = Readonly<z.infer<typeof REQUEST>>;
 /** Reply to a quota request. */
-export type QuotaAnswer = Readonly<z.infer<typeof REPLY>>;
+export type QuotaReply = Readonly<z.infer<typeof REPLY>>;
 /** All messages about quotas. */
 export type QuotaMessage = Readonly<z.infer<typeof MESSAGE>>;
 
--- a/packages/gateway/src/lib/process/account_quotas.ts
+++ b/packages/gateway/src/lib/process/account_quotas.ts
@@ -9,7 +9,7 @@
  * that is not the owner by its own list grants nothing.
  */
 import {
-  QuotaKeeper,
+  QuotaEnforcer,
   QuotaReserve,
   rendezvous,
   repeat,
@@ -23,13 +23,13 @@
 } from '@oathead/core';
 import type {HostAddress} from '../connection/host_socket.js';
 import type {
-  QuotaAnswer,
-  QuotaAsk,
+  QuotaReply,
+  QuotaRequest,
   QuotaMessage,
 } from '../connection/quota_message.js';
 
 /** A host that may own accounts. */
-export interface CountingHost extends HostAddress {
+export interface QuotaHost extends HostAddress {
   /** ID of its process incarnation. */
   readonly id: string;
   /** Name of the host, which is the same after each restart. */
@@ -38,7 +38,7 @@
 
 /** Dependencies of {@link AccountQuotas}. */
 export interface AccountQuotasContext {
-  readonly self: CountingHost;
+  readonly self: QuotaHost;
   readonly clock: Clock;
   readonly random: Random;
   readonly log: EventLog;
@@ -47,7 +47,7 @@
    * @returns The live hosts, including this one; undefined if they are not
    *     known yet.
    */
-  readonly hosts: () => readonly CountingHost[] | undefined;
+  readonly hosts: () => readonly QuotaHost[] | undefined;
   readonly tolerance: () => QuotaTolerance;
   /**
    * @returns The quota of an account in this host's configuration; undefined if
@@ -78,7 +78,7 @@
  */
 const UNCOUNTED_RETRY_DELAY_MS = 1000;
 
-type AnswerHandler = (answer: QuotaAnswer | undefined) => void;
+type AnswerHandler = (answer: QuotaReply | undefined) => void;
 
 const GRANTED: QuotaVerdict = {kind: 'granted'};
 
@@ -87,20 +87,20 @@
  * host owns.
  */
 export class AccountQuotas implements Disposable {
-  private readonly enforcer: QuotaKeeper;
+  private readonly enforcer: QuotaEnforcer;
   private readonly reserve: QuotaReserve;
   private readonly pendingAnswers = new Map<number, AnswerHandler>();
   /** Time until which a host is considered unresponsive, by host name. */
   private readonly pausedUntil = new Map<string, number>();
-  private readonly owners = new Map<string, CountingHost>();
-  private hosts: readonly CountingHost[] = [];
+  private readonly owners = new Map<string, QuotaHost>();
+  private hosts: readonly QuotaHost[] = [];
   private hostIds = '';
   private askId = 0;
   private timer: Disposable | undefined;
 
   /** @param context - Hosts, quotas and the transport to other hosts. */
   constructor(private readonly context: AccountQuotasContext) {
-    this.enforcer = new QuotaKeeper(context.tolerance, context.clock.now());
+    this.enforcer = new QuotaEnforcer(context.tolerance, context.clock.now());
     this.reserve = new QuotaReserve(context.random);
   }
 
@@ -140,15 +140,15 @@
    *
    * @param account - Name of the account.
    */
-  giveBack(account: string): void {
+  refund(account: string): void {
     const owner = this.ownerOf(account);
     if (!owner) return;
-    if (owner.host === this.context.self.host) this.enforcer.giveBack(account);
+    if (owner.host === this.context.self.host) this.enforcer.refund(account);
     else this.context.send({kind: 'give-back', account}, owner);
   }
 
   /** @param message - A message from another host. */
-  hear(message: QuotaMessage): void {
+  receive(message: QuotaMessage): void {
     switch (message.kind) {
       case 'ask':
         this.handleRequest(message);
@@ -157,12 +157,12 @@
         this.pendingAnswers.get(message.askId)?.(message);
         return;
       case 'give-back':
-        this.enforcer.giveBack(message.account);
+        this.enforcer.refund(message.account);
     }
   }
 
   private async requestOrReserve(
-    owner: CountingHost | undefined,
+    owner: QuotaHost | undefined,
     account: string,
     quota: RequestQuota,
   ): Promise<QuotaVerdict> {
@@ -188,9 +188,9 @@
   }
 
   private async requestVerdict(
-    owner: CountingHost,
+    owner: QuotaHost,
     account: string,
-  ): Promise<QuotaAnswer | undefined> {
+  ): Promise<QuotaReply | undefined> {
     const {clock, self, send} = this.context;
     if ((this.pausedUntil.get(owner.host) ?? 0) > clock.now()) return undefined;
     for (let i = 0; i < MAX_SENDS; i++) {
@@ -204,7 +204,7 @@
     return undefined;
   }
 
-  private pauseOwner({host}: CountingHost): void {
+  private pauseOwner({host}: QuotaHost): void {
     const {clock, log} = this.context;
     const until = clock.now() + UNRESPONSIVE_PAUSE_MS;
     if ((this.pausedUntil.get(host) ?? 0) <= clock.now())
@@ -215,7 +215,7 @@
     this.pausedUntil.set(host, until);
   }
 
-  private awaitAnswer(askId: number): Promise<QuotaAnswer | undefined> {
+  private awaitAnswer(askId: number): Promise<QuotaReply | undefined> {
     return new Promise(resolve => {
       const settle: AnswerHandler = answer => {
         this.pendingAnswers.delete(askId);
@@ -229,12 +229,12 @@
     });
   }
 
-  private handleRequest({host, askId, account}: QuotaAsk): void {
+  private handleRequest({host, askId, account}: QuotaRequest): void {
     const {clock, self, quotaOf, send} = this.context;
     const to = this.hosts.find(({id}) => id === host);
     // A sender that is not in the list yet times out and uses its reserve.
     if (!to) return;
-    const reply = (verdict: QuotaAnswer['verdict'], waitMs = 0) =>
+    const reply = (verdict: QuotaReply['verdict'], waitMs = 0) =>
       send({kind: 'answer', askId, verdict, waitMs}, to);
     if (this.ownerOf(account)?.host !== self.host) return reply('elsewhere');
     const quota = quotaOf(account);
@@ -246,7 +246,7 @@
     return reply('over', verdict.waitMs);
   }
 
-  private ownerOf(account: string): CountingHost | undefined {
+  private ownerOf(account: string): QuotaHost | undefined {
     const known = this.owners.get(account);
     if (known) return known;
     const names = this.hosts.map(({host}) => host);
--- a/packages/gateway/src/lib/process/caller_admission.ts
+++ b/packages/gateway/src/lib/process/caller_admission.ts
@@ -61,7 +61,7 @@
   }
 
   /** Whether this host can currently admit callers by key. */
-  get isOpen(): boolean {
+  get canAdmitByKey(): boolean {
     return !this.inForce || this.context.freshness.isValid;
   }
 
@@ -94,8 +94,8 @@
    *
    * @param account - Account of the request.
    */
-  giveBackQuota(account: ClientAccount | undefined): void {
-    if (account?.quota) this.context.quotas.giveBack(account.name);
+  refundQuota(account: ClientAccount | undefined): void {
+    if (account?.quota) this.context.quotas.refund(account.name);
   }
 
   /** Configuration version and age, for log lines. */
@@ -118,7 +118,7 @@
     // An unknown key may be a new one, so a host with a stale configuration
     // must not report it as unknown.
     const isFresh = this.context.freshness.isValid;
-    const account = isFresh ? accounts.ofKey(key) : undefined;
+    const account = isFresh ? accounts.findByKey(key) : undefined;
     if (account || isPublic) return {kind: 'admitted', account};
     return {kind: 'refused', reason: isFresh ? 'unknown-key' : 'stale'};
   }
--- a/packages/gateway/src/lib/process/caller_patience.ts
+++ b/packages/gateway/src/lib/process/caller_retry_detector.ts
@@ -14,7 +14,7 @@
 const RETRY_WAIT_SHARE = 0.96;
 
 /** Tracks the longest time that callers are willing to wait, by route. */
-export class CallerPatience {
+export class CallerRetryDetector {
   private readonly longestWaitMs = new Map<string, number>();
 
   /**
@@ -23,7 +23,7 @@
    *     undefined if it does not say.
    * @returns Whether the request appears to be a retry after a refusal.
    */
-  isReturning(route: string, waitsMs: number | undefined): boolean {
+  isRetry(route: string, waitsMs: number | undefined): boolean {
     if (waitsMs === undefined) return false;
     const longestWaitMs = Math.max(this.longestWaitMs.get(route) ?? 0, waitsMs);
     this.longestWaitMs.set(route, longestWaitMs);
--- a/packages/gateway/src/lib/process/coordinator.ts
+++ b/packages/gateway/src/lib/process/coordinator.ts
@@ -12,7 +12,10 @@
  */
 import type {Target} from '../connection/target.js';
 import {targetKey} from '../connection/load_message.js';
-import type {PlaceAsk, PlaceWish} from '../connection/placement_message.js';
+import type {
+  PlacementRequest,
+  PlacementCriteria,
+} from '../connection/placement_message.js';
 import {AvoidedTargets} from './avoided_targets.js';
 import type {LoadTable} from './load_table.js';
 import type {TargetChooser} from './target_chooser.js';
@@ -64,7 +67,7 @@
    * @returns The target and the items to preempt there.
    */
   place(
-    {host, service, wish, excluded}: PlaceAsk,
+    {host, service, wish, excluded}: PlacementRequest,
     dataCentre: string,
   ): PlacementDecision {
     this.avoided.report(host, excluded);
@@ -84,7 +87,7 @@
 
   private choose(
     service: string,
-    wish: PlaceWish,
+    wish: PlacementCriteria,
     excluded: ReadonlySet<string>,
   ): Target | undefined {
     const {chooser} = this.context;
--- a/packages/gateway/src/lib/process/crash_suspects.ts
+++ b/packages/gateway/src/lib/process/crash_suspects.ts
@@ -65,7 +65,7 @@
   /**
    * @returns Time until the entry of a crashed target expires, in milliseconds.
    */
-  readonly lapseMs: () => number;
+  readonly expiryMs: () => number;
 }
 
 /** Tracks requests whose runs broke off before a response. */
@@ -127,7 +127,7 @@
   }
 
   /** @param requestFingerprint - Fingerprint of an item that is started. */
-  startsItem(requestFingerprint: string): void {
+  recordItemStart(requestFingerprint: string): void {
     if (!this.isBlocked(requestFingerprint)) return;
     this.lastExtraRunAt.set(requestFingerprint, this.now());
     this.context.log.event('suspect-tried-again', {
@@ -140,7 +140,7 @@
    *     before any response.
    * @param targetId - ID of the target of the run.
    */
-  broke(requestFingerprint: string, targetId: string): void {
+  recordBrokenRun(requestFingerprint: string, targetId: string): void {
     const known = this.suspects.get(requestFingerprint)?.targets ?? [];
     if (known.includes(targetId)) return;
     const suspect = {targets: [...known, targetId], at: this.now()};
@@ -161,7 +161,7 @@
   }
 
   /** @param requestFingerprint - Fingerprint of a request that was answered. */
-  answered(requestFingerprint: string): void {
+  recordAnswer(requestFingerprint: string): void {
     this.suspects.delete(requestFingerprint);
     this.lastExtraRunAt.delete(requestFingerprint);
   }
@@ -205,7 +205,7 @@
    * expired, in milliseconds.
    */
   private expiryKnownAfterMs(): number {
-    return this.context.lapseMs() + LIST_READ_MARGIN_MS;
+    return this.context.expiryMs() + LIST_READ_MARGIN_MS;
   }
 
   private now(): number {
--- a/packages/gateway/src/lib/process/front_server.ts
+++ b/packages/gateway/src/lib/process/front_server.ts
@@ -25,7 +25,7 @@
 }
 
 /** Handles the requests of the batch API. */
-export interface BatchFront {
+export interface BatchApi {
   /** @returns Whether the request belongs to the batch API. */
   accepts(request: Omit<RoutedRequest, 'account'>): boolean;
   /**
@@ -50,7 +50,7 @@
 export interface FrontServerContext {
   readonly online: OnlineContext;
   readonly routing: RoutingState;
-  readonly batch: BatchFront;
+  readonly batch: BatchApi;
   readonly log: EventLog;
   /** Whether a planned shutdown is in progress. */
   readonly draining: () => boolean;
--- a/packages/gateway/src/lib/process/load_telling.ts
+++ b/packages/gateway/src/lib/process/load_reporter.ts
@@ -4,12 +4,15 @@
  * target. This module does no network I/O.
  */
 import {rendezvous, type Random} from '@oathead/core';
-import {loadPlan, type LoadPlanOptions} from '../connection/load_pace.js';
+import {
+  planLoadReports,
+  type LoadPlanOptions,
+} from '../connection/load_intervals.js';
 import type {LoadMessage} from '../connection/load_message.js';
 import type {HostLoad, LoadTable} from './load_table.js';
 
 /** Intervals of load reports. */
-export interface LoadTellingOptions extends LoadPlanOptions {
+export interface LoadReportOptions extends LoadPlanOptions {
   /**
    * Interval at which the coordinator of a data centre sends the sum of its
    * data centre's loads to the coordinators of the others, in milliseconds.
@@ -28,7 +31,7 @@
  * data centre has one entry for each target in use, and takes from some hundred
  * bytes to one kilobyte.
  */
-export const DEFAULT_LOAD_TELLING: LoadTellingOptions = {
+export const DEFAULT_LOAD_REPORT_OPTIONS: LoadReportOptions = {
   periodMs: 60,
   maxDatagramsPerSecond: 150,
   directFarMs: 333,
@@ -69,7 +72,7 @@
   readonly peer: P | undefined;
 }
 
-/** Dependencies of {@link LoadTelling}. */
+/** Dependencies of {@link LoadReporter}. */
 export interface LoadReporterContext {
   readonly self: LoadPeer;
   readonly table: LoadTable;
@@ -83,7 +86,7 @@
 }
 
 /** Schedules outgoing load reports and applies incoming ones. */
-export class LoadTelling<P extends LoadPeer> {
+export class LoadReporter<P extends LoadPeer> {
   private readonly lastSequences = new Map<string, number>();
   private readonly localGroup: RecipientGroup = {
     lastSentAt: -Infinity,
@@ -112,7 +115,7 @@
    */
   constructor(
     private readonly context: LoadReporterContext,
-    private readonly options: LoadTellingOptions,
+    private readonly options: LoadReportOptions,
   ) {
     const {now, random} = context;
     this.startedAt = now();
@@ -127,7 +130,7 @@
    * @param peers - All live hosts except this one.
    * @returns The messages to send now.
    */
-  due(peers: readonly P[]): ReadonlyArray<OutgoingLoadReport<P>> {
+  takeDueReports(peers: readonly P[]): ReadonlyArray<OutgoingLoadReport<P>> {
     const {table, self} = this.context;
     table.expire();
     const local = peers.filter(
@@ -135,7 +138,7 @@
     );
     const remote = byDataCentre(peers, self.dataCentre);
     const remotePeers = [...remote.values()].flat();
-    const plan = loadPlan(
+    const plan = planLoadReports(
       local.length,
       remotePeers.length,
       remote.size,
@@ -181,7 +184,7 @@
    *
    * @param message - A report of another host.
    */
-  hear(message: LoadMessage): void {
+  receive(message: LoadMessage): void {
     const {host, dataCentre, sequence, sumOf, load} = message;
     const {table, self} = this.context;
     if (sequence <= (this.lastSequences.get(host) ?? 0)) return;
--- a/packages/gateway/src/lib/process/load_table.ts
+++ b/packages/gateway/src/lib/process/load_table.ts
@@ -269,7 +269,7 @@
   }
 
   /** @returns The sum over all hosts. */
-  at(targetKey: string): TargetLoad {
+  totalAt(targetKey: string): TargetLoad {
     return this.totals.get(targetKey) ?? NO_LOAD;
   }
 
@@ -331,7 +331,7 @@
   }
 
   private adjustTotal(targetKey: string, online: number, batch: number): void {
-    const total = this.at(targetKey);
+    const total = this.totalAt(targetKey);
     const next = {online: total.online + online, batch: total.batch + batch};
     // Checks the lanes separately and not their sum. A holder may report that
     // an item has ended before the pending change for it is removed, and the
--- a/packages/gateway/src/lib/process/membership.ts
+++ b/packages/gateway/src/lib/process/membership.ts
@@ -133,7 +133,7 @@
   }
 
   /** Whether the list of hosts has been read at least once. */
-  get known(): boolean {
+  get isInitialized(): boolean {
     return this.storeTimeMs > 0;
   }
 
--- a/packages/gateway/src/lib/process/placement.ts
+++ b/packages/gateway/src/lib/process/placement.ts
@@ -11,12 +11,12 @@
 import type {Clock, Counters, EventLog, WaitDemand} from '@oathead/core';
 import type {Target} from '../connection/target.js';
 import type {
-  PlaceAsk,
+  PlacementRequest,
   PlacementMessage,
-  PlaceWish,
+  PlacementCriteria,
 } from '../connection/placement_message.js';
 import type {Coordinator} from './coordinator.js';
-import type {LoadPeer} from './load_telling.js';
+import type {LoadPeer} from './load_reporter.js';
 import type {BatchPressure, TargetChooser} from './target_chooser.js';
 import type {TargetDirectory} from './target_directory.js';
 
@@ -58,7 +58,7 @@
   readonly counters: Counters;
   readonly chooser: TargetChooser;
   readonly directory: TargetDirectory;
-  readonly own: Coordinator;
+  readonly localCoordinator: Coordinator;
   /**
    * @returns The coordinator; undefined if it is this host or there is none.
    */
@@ -72,7 +72,7 @@
   readonly peer: (id: string) => P | undefined;
   readonly send: (message: PlacementMessage, to: P) => void;
   /** Called when items of this host must be preempted at a target. */
-  readonly onYield: (targetId: string, items: number) => void;
+  readonly onPreempt: (targetId: string, items: number) => void;
 }
 
 /** Placement of online requests. */
@@ -183,7 +183,7 @@
   }
 
   /** @param message - A message from another host. */
-  hear(message: PlacementMessage): void {
+  receive(message: PlacementMessage): void {
     switch (message.kind) {
       case 'ask':
         this.handleRequest(message);
@@ -192,7 +192,7 @@
         this.pendingAnswers.get(message.askId)?.(message.targetId);
         return;
       case 'yield':
-        this.context.onYield(message.targetId, message.items);
+        this.context.onPreempt(message.targetId, message.items);
     }
   }
 
@@ -208,7 +208,7 @@
   private async requestPlacement(
     coordinator: P,
     service: string,
-    wish: PlaceWish,
+    wish: PlacementCriteria,
     tried: ReadonlySet<string>,
   ): Promise<Target | undefined | 'silent'> {
     const {self, send, counters} = this.context;
@@ -272,8 +272,8 @@
     log.event('coordinator-silent', {coordinator: id, pauseMs: PAUSE_MS});
   }
 
-  private handleRequest(ask: PlaceAsk): void {
-    const {own: coordinator, peer, send} = this.context;
+  private handleRequest(ask: PlacementRequest): void {
+    const {localCoordinator: coordinator, peer, send} = this.context;
     const to = peer(ask.host);
     // A sender that is not known yet times out and uses its own view.
     if (!to) return;
--- a/packages/gateway/src/lib/process/home_targets.ts
+++ b/packages/gateway/src/lib/process/preferred_targets.ts
@@ -21,8 +21,8 @@
  */
 const MIN_PREFERRED_TARGETS = 8;
 
-/** Dependencies of {@link HomeTargets}. */
-export interface HomeTargetsContext {
+/** Dependencies of {@link PreferredTargets}. */
+export interface PreferredTargetsContext {
   /** ID of this host. */
   readonly self: string;
   readonly dataCentre: string;
@@ -36,11 +36,11 @@
 }
 
 /** Selects and caches the preferred targets of a host. */
-export class HomeTargets {
+export class PreferredTargets {
   private readonly cache = new WeakMap<readonly Target[], CachedSelection>();
 
   /** @param context - This host and the number of live hosts. */
-  constructor(private readonly context: HomeTargetsContext) {}
+  constructor(private readonly context: PreferredTargetsContext) {}
 
   /**
    * @param targets - All targets of a service. The result is cached by array
--- a/packages/gateway/src/lib/process/ready_server.ts
+++ b/packages/gateway/src/lib/process/readiness_server.ts
@@ -6,7 +6,7 @@
 const STATUS_NOT_FOUND = 404;
 
 /** HTTP server that reports whether the process is ready. */
-export class ReadyServer {
+export class ReadinessServer {
   private readonly server: Server;
 
   /**
--- a/packages/gateway/src/lib/process/service_health.ts
+++ b/packages/gateway/src/lib/process/service_health.ts
@@ -16,7 +16,7 @@
    * @returns The fraction of its regular load that the target should get, from
    *     0 to 1.
    */
-  share({service, id}: Target): number {
+  trafficShare({service, id}: Target): number {
     return this.services.get(service)?.share(id) ?? 1;
   }
 
@@ -24,13 +24,13 @@
    * @param target - A target that answered successfully.
    * @param latencyMs - Time to the first byte of its answer, in milliseconds.
    */
-  answered({service, id}: Target, latencyMs: number): void {
-    this.healthOf(service).answered(id, latencyMs, this.clock.now());
+  recordSuccess({service, id}: Target, latencyMs: number): void {
+    this.healthOf(service).recordSuccess(id, latencyMs, this.clock.now());
   }
 
   /** @param target - A target that failed a request through its own fault. */
-  failed({service, id}: Target): void {
-    this.healthOf(service).failed(id, this.clock.now());
+  recordFailure({service, id}: Target): void {
+    this.healthOf(service).recordFailure(id, this.clock.now());
   }
 
   /** Decays penalties; to be called about once a second. */
@@ -39,7 +39,7 @@
   }
 
   /** @param id - ID of a target that was removed. */
-  forget(id: string): void {
+  remove(id: string): void {
     for (const health of this.services.values()) health.remove(id);
   }
 
--- a/packages/gateway/src/lib/process/service_overload.ts
+++ b/packages/gateway/src/lib/process/service_overload.ts
@@ -4,8 +4,8 @@
  */
 import {
   PaceLearner,
-  ReturnTimes,
-  waitingPlaces,
+  RetryScheduler,
+  maxQueueLength,
   type Clock,
   type Random,
   type ServicePace,
@@ -25,7 +25,7 @@
 
 interface ServiceObservations {
   readonly learner: PaceLearner;
-  readonly returns: ReturnTimes;
+  readonly returns: RetryScheduler;
 }
 
 /** Observations by service. */
@@ -39,14 +39,14 @@
    * @param service - Service of the target.
    * @param run - Latencies of a run that found a free slot.
    */
-  ran(service: string, run: ServicePace): void {
+  recordRun(service: string, run: ServicePace): void {
     this.observationsOf(service).learner.add(run);
   }
 
   /** @returns How many requests with this demand may be queued at a target. */
   maxQueued({service, slots}: Target, demand: WaitDemand): number {
     const pace = this.services.get(service)?.learner.pace;
-    return waitingPlaces(slots, demand, pace);
+    return maxQueueLength(slots, demand, pace);
   }
 
   /**
@@ -61,11 +61,11 @@
     const targets = directory.ofService(service);
     const slots = targets.reduce((sum, target) => sum + target.slots, 0);
     const runMs = learner.pace?.runMs;
-    return returns.refuse(clock.now(), {
+    return returns.scheduleRetry(clock.now(), {
       runMs,
       slots,
       hosts: hosts(),
-      latestMs,
+      maxDelayMs: latestMs,
     });
   }
 
@@ -74,7 +74,7 @@
     if (known) return known;
     const observed: ServiceObservations = {
       learner: new PaceLearner(),
-      returns: new ReturnTimes(this.context.random),
+      returns: new RetryScheduler(this.context.random),
     };
     this.services.set(service, observed);
     return observed;
--- a/packages/gateway/src/lib/process/target_chooser.ts
+++ b/packages/gateway/src/lib/process/target_chooser.ts
@@ -5,7 +5,7 @@
 import type {Random, WaitDemand} from '@oathead/core';
 import {targetKey} from '../connection/load_message.js';
 import type {Target} from '../connection/target.js';
-import type {HomeTargets} from './home_targets.js';
+import type {PreferredTargets} from './preferred_targets.js';
 import type {Lane, LoadTable, TargetLoad} from './load_table.js';
 import type {ServiceHealth} from './service_health.js';
 import type {ServiceOverload} from './service_overload.js';
@@ -66,7 +66,7 @@
   readonly health: ServiceHealth;
   readonly overload: ServiceOverload;
   readonly loads: LoadTable;
-  readonly homes: HomeTargets;
+  readonly preferredTargets: PreferredTargets;
   readonly random: Random;
 }
 
@@ -95,7 +95,8 @@
     const {overload} = this.context;
     const hasCapacity: HasCapacity = (target, {online}) =>
       online < target.slots + overload.maxQueued(target, demand);
-    const isAvailable = ({id}: Target) => !this.context.suspensions.has(id);
+    const isAvailable = ({id}: Target) =>
+      !this.context.suspensions.isSuspended(id);
     const targets = this.context.directory
       .ofService(service)
       .filter(({id}) => !tried.has(id));
@@ -115,7 +116,7 @@
    *     slot.
    */
   forItem(service: string, pressure: BatchPressure): Target | undefined {
-    const {directory, homes: preferred} = this.context;
+    const {directory, preferredTargets: preferred} = this.context;
     const all = directory.ofService(service);
     const candidates = pressure === 'relaxed' ? preferred.select(all) : all;
     return this.bestForItem(candidates, pressure);
@@ -149,7 +150,7 @@
   ): Target | undefined {
     const {suspensions} = this.context;
     const share = this.weights.batchStartShare[pressure];
-    const available = targets.filter(({id}) => !suspensions.has(id));
+    const available = targets.filter(({id}) => !suspensions.isSuspended(id));
     return this.best(available, 'batch', ({slots}, {online, batch}) => {
       return online + batch < slots * share;
     });
@@ -185,7 +186,7 @@
    *     use.
    */
   isLoadBelow({id, slots, dataCentre}: Target, share: number): boolean {
-    const {online, batch} = this.context.loads.at(targetKey(id));
+    const {online, batch} = this.context.loads.totalAt(targetKey(id));
     const isLocal = dataCentre === this.context.dataCentre;
     return isLocal && online + batch < slots * share;
   }
@@ -196,13 +197,13 @@
   suspended(service: string): readonly string[] {
     const {directory, suspensions} = this.context;
     const ids = directory.ofService(service).map(({id}) => id);
-    return ids.filter(id => suspensions.has(id));
+    return ids.filter(id => suspensions.isSuspended(id));
   }
 
   /**
    * @returns Whether a service has a target, full or not, that was not tried.
    */
-  hasOther(service: string, tried: ReadonlySet<string>): boolean {
+  hasUntried(service: string, tried: ReadonlySet<string>): boolean {
     const targets = this.context.directory.ofService(service);
     return targets.some(({id}) => !tried.has(id));
   }
@@ -214,10 +215,10 @@
   view(service: string): ChoiceView {
     const {directory, suspensions, loads} = this.context;
     const targets = directory.ofService(service);
-    const online = targets.map(({id}) => loads.at(targetKey(id)).online);
+    const online = targets.map(({id}) => loads.totalAt(targetKey(id)).online);
     return {
       targets: targets.length,
-      suspended: targets.filter(({id}) => suspensions.has(id)).length,
+      suspended: targets.filter(({id}) => suspensions.isSuspended(id)).length,
       leastOnline: online.length > 0 ? Math.min(...online) : undefined,
     };
   }
@@ -227,7 +228,7 @@
    * @param host - ID of this host in load reports.
    * @returns Number of this host's batch items that must be preempted there.
    */
-  itemsToYield(target: Target, host: string): number {
+  itemsToPreempt(target: Target, host: string): number {
     if (this.context.loads.ownLoadAt(targetKey(target.id)).batch === 0)
       return 0;
     return this.itemsToPreemptByHost(target, host).get(host) ?? 0;
@@ -244,7 +245,7 @@
   ): ReadonlyMap<string, number> {
     const key = targetKey(target.id);
     const {loads, dataCentre} = this.context;
-    const {online, batch} = loads.at(key);
+    const {online, batch} = loads.totalAt(key);
     const limit = Math.floor(target.slots * this.weights.batchPreemptionShare);
     const excess = online + batch - limit;
     if (excess <= 0) return new Map();
@@ -267,7 +268,7 @@
     let best: Target | undefined;
     let bestScore = Infinity;
     for (const target of targets) {
-      const load = this.context.loads.at(targetKey(target.id));
+      const load = this.context.loads.totalAt(targetKey(target.id));
       const score = this.score(target, lane, load);
       if (score >= bestScore || !hasCapacity(target, load)) continue;
       best = target;
@@ -284,6 +285,6 @@
     // from all choosing the same target. One more request weighs more the
     // smaller the target's share is.
     const inFlight = load.online + load.batch + 1 + random.float() / 2;
-    return inFlight / health.share(target) + penalty;
+    return inFlight / health.trafficShare(target) + penalty;
   }
 }
--- a/packages/gateway/src/lib/process/target_directory.ts
+++ b/packages/gateway/src/lib/process/target_directory.ts
@@ -49,7 +49,7 @@
    *
    * @returns Whether an outage preceded this read.
    */
-  listRead(): boolean {
+  recordListRead(): boolean {
     const now = this.context.clock.now();
     const isAfterOutage = now - this.lastReadAt > OUTAGE_MS;
     if (isAfterOutage) this.uninterruptedSince = now;
@@ -71,7 +71,7 @@
   }
 
   /** @param listener - Called with the ID of each target that is removed. */
-  onGone(listener: (id: string) => void): void {
+  onRemoved(listener: (id: string) => void): void {
     this.removalListeners.push(listener);
   }
 
@@ -85,7 +85,7 @@
    * @param listener - Called when a later incarnation of the server is known.
    * @returns Ends the subscription when disposed.
    */
-  onceRestarted(target: Target, listener: () => void): Disposable {
+  onRestarted(target: Target, listener: () => void): Disposable {
     const {serverId} = target;
     const listeners =
       this.restartListeners.get(serverId) ?? new Map<() => void, string>();
--- a/packages/gateway/src/lib/process/target_suspensions.ts
+++ b/packages/gateway/src/lib/process/target_suspensions.ts
@@ -50,7 +50,7 @@
   ) {}
 
   /** @param id - ID of a target from which any data was received. */
-  heard(id: string): void {
+  recordActivity(id: string): void {
     this.lastActivityAt.set(id, this.clock.now());
   }
 
@@ -59,25 +59,25 @@
    * @param since - A time of the clock, in milliseconds.
    * @returns Whether any data was received from it since then.
    */
-  heardSince(id: string, since: number): boolean {
+  hasActivitySince(id: string, since: number): boolean {
     return (this.lastActivityAt.get(id) ?? -Infinity) > since;
   }
 
   /** @returns Whether the target is suspended. */
-  has(id: string): boolean {
+  isSuspended(id: string): boolean {
     const until = this.suspended.get(id)?.until;
     return until !== undefined && until > this.clock.now();
   }
 
   /** @param id - ID of a target that completed a response. */
-  succeeded(id: string): void {
+  recordSuccess(id: string): void {
     this.suspended.delete(id);
   }
 
   /** @param id - ID of a target that declined a request because it is full. */
-  declined(id: string): void {
+  recordDecline(id: string): void {
     // Requests that were in flight at the same time count as one.
-    if (this.has(id)) return;
+    if (this.isSuspended(id)) return;
     const {failures = 0, declines = 0} = this.suspended.get(id) ?? {};
     const pauseMs = Math.min(
       BASE_FULL_SUSPENSION_MS * 2 ** declines,
@@ -91,7 +91,7 @@
    * @param id - ID of a target that broke off a connection or was unreachable.
    * @param reason - The error, for the log.
    */
-  failed(id: string, reason: string): void {
+  recordFailure(id: string, reason: string): void {
     const failures = (this.suspended.get(id)?.failures ?? 0) + 1;
     const pauseMs = Math.min(
       BASE_SUSPENSION_MS * 2 ** (failures - 1),
@@ -103,7 +103,7 @@
   }
 
   /** @param id - ID of a target that was removed. */
-  forget(id: string): void {
+  remove(id: string): void {
     this.lastActivityAt.delete(id);
     this.suspended.delete(id);
   }
--- a/packages/gateway/src/lib/request/exchange.ts
+++ b/packages/gateway/src/lib/request/exchange.ts
@@ -8,7 +8,11 @@
 import {errors, type Dispatcher} from 'undici';
 import type {TargetConnection} from '../connection/target_connection.js';
 import {EventSplitter, type StreamEvent} from './stream_events.js';
-import type {AnswerFacts, Headers, TargetProtocol} from './target_protocol.js';
+import type {
+  ResponseMetadata,
+  Headers,
+  TargetProtocol,
+} from './target_protocol.js';
 
 /** The request that is sent to a target. */
 export interface TargetRequest {
@@ -32,20 +36,20 @@
    * @returns Whether more events can be accepted now. If not, `resume` is
    *     called later.
    */
-  events(events: readonly StreamEvent[], head: AnswerHead): boolean;
+  events(events: readonly StreamEvent[], head: ResponseHead): boolean;
   /** @param resume - To be called once when more events can be accepted. */
   paused(resume: () => void): void;
 }
 
 /** Status and headers of a response. */
-export interface AnswerHead {
+export interface ResponseHead {
   readonly status: number;
   readonly headers: IncomingHttpHeaders;
 }
 
 /** A response with its complete body. */
 export interface CompleteResponse {
-  readonly head: AnswerHead;
+  readonly head: ResponseHead;
   readonly body: Buffer;
 }
 
@@ -61,11 +65,11 @@
   | 'restarted';
 
 /** Outcome of a request at a target. */
-export type ExchangeEnd =
+export type ExchangeOutcome =
   /** The target sent a complete response. */
   | ({readonly kind: 'answered'} & CompleteResponse)
   /** A stream was received to its end; the sink received its events. */
-  | {readonly kind: 'streamed'; readonly head: AnswerHead}
+  | {readonly kind: 'streamed'; readonly head: ResponseHead}
   /** The target reported that it did not run the request. */
   | {readonly kind: 'declined'; readonly status: number}
   /** No connection could be established, so the request cannot have run. */
@@ -119,17 +123,17 @@
   private readonly splitter = new EventSplitter();
   private readonly chunks: Buffer[] = [];
   private bytes = 0;
-  private head: AnswerHead | undefined;
-  private metadata: AnswerFacts | undefined;
+  private head: ResponseHead | undefined;
+  private metadata: ResponseMetadata | undefined;
   private nextEventId: number | undefined;
   private settled = false;
   private readonly startedAt: number;
   private lastActivityAt: number;
   private headAfterMs: number | undefined;
-  private resolveOutcome!: (end: ExchangeEnd) => void;
+  private resolveOutcome!: (end: ExchangeOutcome) => void;
 
   /** The outcome; never rejects. */
-  readonly outcome$: Promise<ExchangeEnd>;
+  readonly outcome$: Promise<ExchangeOutcome>;
 
   /**
    * @param connection - A connection with no request on it.
@@ -208,7 +212,7 @@
     this.headAfterMs = this.lastActivityAt - this.startedAt;
     this.context.onActivity();
     this.head = {status, headers};
-    this.metadata = this.context.protocol.readAnswer(status, headers);
+    this.metadata = this.context.protocol.readResponse(status, headers);
     const error = this.headError(this.metadata, status);
     if (error) this.failInvalid(error);
   }
@@ -259,10 +263,13 @@
   }
 
   private isEventStream(): boolean {
-    return this.metadata!.eventStream && this.head!.status === 200;
+    return this.metadata!.isEventStream && this.head!.status === 200;
   }
 
-  private headError(metadata: AnswerFacts, status: number): string | undefined {
+  private headError(
+    metadata: ResponseMetadata,
+    status: number,
+  ): string | undefined {
     if (metadata.notRun) return undefined;
     const {requestId} = this.req;
     if (metadata.requestId !== undefined && metadata.requestId !== requestId)
@@ -271,7 +278,7 @@
     if (!success) return undefined;
     if (metadata.requestId === undefined) return 'answer without a request id';
     if (!metadata.sealed) return 'success without a seal';
-    if (metadata.encoded) return 'body in an unasked coding';
+    if (metadata.hasUnexpectedEncoding) return 'body in an unasked coding';
     return undefined;
   }
 
@@ -325,7 +332,7 @@
    * Settles the outcome once, and closes the connection unless the response is
    * complete.
    */
-  private finish(outcome: ExchangeEnd, complete = false): void {
+  private finish(outcome: ExchangeOutcome, complete = false): void {
     if (this.settled) return;
     this.settled = true;
     if (!complete) this.connection[Symbol.dispose]();
@@ -342,7 +349,7 @@
  * @param outcome - Outcome of a request of whose response nothing was received.
  * @returns Whether the request may have crashed the target.
  */
-export function mayHaveCrashed(outcome: ExchangeEnd): boolean {
+export function mayHaveCrashed(outcome: ExchangeOutcome): boolean {
   if (outcome.kind === 'broken') return !outcome.sentInvalidData;
   return outcome.kind === 'ended' && outcome.by === 'restarted';
 }
--- a/packages/gateway/src/lib/request/online_request.ts
+++ b/packages/gateway/src/lib/request/online_request.ts
@@ -4,7 +4,7 @@
  */
 import {
   DisposableStore,
-  patienceMs,
+  maxQueueWaitMs,
   sleep,
   type Random,
   type WaitDemand,
@@ -15,7 +15,7 @@
   AdmissionRefusal,
   CallerAdmission,
 } from '../process/caller_admission.js';
-import type {CallerPatience} from '../process/caller_patience.js';
+import type {CallerRetryDetector} from '../process/caller_retry_detector.js';
 import {CrashSuspects} from '../process/crash_suspects.js';
 import type {RequestPlacement} from '../process/placement.js';
 import type {TargetChooser} from '../process/target_chooser.js';
@@ -24,7 +24,7 @@
 import {
   mayHaveCrashed,
   type AbortReason,
-  type ExchangeEnd,
+  type ExchangeOutcome,
   type CompleteResponse,
 } from './exchange.js';
 import {failureStatus, STATUS_UNAVAILABLE} from './failure_status.js';
@@ -40,7 +40,7 @@
   type SendContext,
   type ActiveSend,
 } from './target_send.js';
-import type {RequestFacts, SenderAccount} from './target_protocol.js';
+import type {RequestMetadata, SenderAccount} from './target_protocol.js';
 
 /** Dependencies shared by all online requests of a process. */
 export interface OnlineContext extends SendContext, ReportContext {
@@ -48,7 +48,7 @@
   readonly placement: RequestPlacement;
   readonly random: Random;
   readonly crashes: CrashSuspects;
-  readonly patience: CallerPatience;
+  readonly retryDetector: CallerRetryDetector;
   readonly admission: CallerAdmission;
 }
 
@@ -86,7 +86,7 @@
 export class OnlineRequest {
   private readonly startedAt: number;
   private readonly deadlineAt: number;
-  private readonly metadata: RequestFacts;
+  private readonly metadata: RequestMetadata;
   private readonly report: RequestReport;
   private readonly writer: ResponseWriter;
   private readonly tried = new Set<string>();
@@ -127,7 +127,7 @@
     const {name, goalMs} = route;
     const priority = account?.priority ?? route.priority;
     const {deadlineMs} = this.metadata;
-    const returning = context.patience.isReturning(name, deadlineMs);
+    const returning = context.retryDetector.isRetry(name, deadlineMs);
     this.demand = {goalMs, priority, returning};
   }
 
@@ -166,7 +166,7 @@
     const {service, demand, tried} = this;
     // With few targets, all of them may have been tried. The runs there have
     // ended, so they may be tried again.
-    if (!chooser.hasOther(service, tried)) tried.clear();
+    if (!chooser.hasUntried(service, tried)) tried.clear();
     const until = this.now() + this.targetWaitMs();
     for (;;) {
       const target = await placement.forRequest(service, demand, tried);
@@ -199,15 +199,15 @@
 
   private targetWaitMs(): number {
     if (this.writer.hasStarted || this.runs > 0) return RETRY_TARGET_WAIT_MS;
-    return this.startedAt + patienceMs(this.demand) - this.now();
+    return this.startedAt + maxQueueWaitMs(this.demand) - this.now();
   }
 
-  private async send(target: Target): Promise<ExchangeEnd> {
+  private async send(target: Target): Promise<ExchangeOutcome> {
     const {context, writer} = this;
     this.tried.add(target.id);
-    const load = context.loads.at(targetKey(target.id));
+    const load = context.loads.totalAt(targetKey(target.id));
     this.report.sent(target, load, this.progress());
-    const targetSpan = this.report.trace.toTarget(
+    const targetSpan = this.report.trace.startTargetSpan(
       target.serverId,
       this.runs + 1,
     );
@@ -237,9 +237,9 @@
   }
 
   /** @returns Whether the request is finished. */
-  private handleOutcome(outcome: ExchangeEnd, target: Target): boolean {
+  private handleOutcome(outcome: ExchangeOutcome, target: Target): boolean {
     if (!this.writer.hasStarted && mayHaveCrashed(outcome))
-      this.context.crashes.broke(this.fingerprint, target.id);
+      this.context.crashes.recordBrokenRun(this.fingerprint, target.id);
     switch (outcome.kind) {
       case 'answered':
         // The target was asked to resume a stream and sent another response
@@ -247,7 +247,7 @@
         if (this.writer.hasStarted) return this.retryOrGiveUp('failed', target);
         if (outcome.head.status >= STATUS_SERVER_ERROR && this.canRetry())
           return this.recordFailedResponse(outcome, target);
-        this.context.crashes.answered(this.fingerprint);
+        this.context.crashes.recordAnswer(this.fingerprint);
         this.writer.sendComplete(outcome.head, outcome.body);
         return this.finish('answered', outcome.head.status, target);
       case 'streamed':
@@ -327,7 +327,7 @@
     this.report.givenUp(service, reason, this.context.chooser.view(service));
     const status = failureStatus(reason, this.runs);
     if (this.runs === 0)
-      this.context.admission.giveBackQuota(this.admitted.account);
+      this.context.admission.refundQuota(this.admitted.account);
     const retry =
       status === STATUS_UNAVAILABLE
         ? this.context.protocol.retryAfter(this.retryDelayMs())
@@ -339,7 +339,7 @@
   private retryDelayMs(): number {
     const {protocol, overload} = this.context;
     const leftMs = this.deadlineAt - this.now();
-    const latestMs = protocol.latestReturnMs(leftMs);
+    const latestMs = protocol.maxRetryAfterMs(leftMs);
     return overload.returnAfterMs(this.service, latestMs);
   }
 
--- a/packages/gateway/src/lib/request/request_report.ts
+++ b/packages/gateway/src/lib/request/request_report.ts
@@ -6,7 +6,7 @@
 import type {ChoiceView} from '../process/target_chooser.js';
 import type {Route} from '../version/routing_table.js';
 import {RequestTrace} from './request_trace.js';
-import type {Headers, RequestFacts} from './target_protocol.js';
+import type {Headers, RequestMetadata} from './target_protocol.js';
 
 /** Destinations of the reports. */
 export interface ReportContext {
@@ -53,7 +53,7 @@
   constructor(
     private readonly context: ReportContext,
     private readonly route: Route,
-    private readonly metadata: RequestFacts,
+    private readonly metadata: RequestMetadata,
     headers: Headers,
     private readonly account: string | undefined,
   ) {
--- a/packages/gateway/src/lib/request/request_trace.ts
+++ b/packages/gateway/src/lib/request/request_trace.ts
@@ -4,7 +4,7 @@
  */
 import {endHop, startHop, traceparentOf} from '@oathead/observe';
 import type {Attributes, Span, Tracer} from '@opentelemetry/api';
-import type {ExchangeEnd} from './exchange.js';
+import type {ExchangeOutcome} from './exchange.js';
 import type {Headers} from './target_protocol.js';
 
 /** Header that propagates the trace (W3C Trace Context). */
@@ -15,7 +15,7 @@
   /** Request headers with the trace context for the target. */
   readonly headers: Headers;
   /** @param kind - Kind of the outcome at the target. */
-  end(kind: ExchangeEnd['kind']): void;
+  end(kind: ExchangeOutcome['kind']): void;
 }
 
 /** Records the spans of a request. Records nothing if tracing is disabled. */
@@ -44,7 +44,7 @@
    * @param run - Number of the run, starting at 1.
    * @returns The span, to be ended with the outcome at the target.
    */
-  toTarget(targetId: string, run: number): TargetSpan {
+  startTargetSpan(targetId: string, run: number): TargetSpan {
     const parent = traceparentOf(this.span);
     // Tracing is disabled. A trace context of the caller is forwarded
     // unchanged.
@@ -61,11 +61,11 @@
   }
 }
 
-const SUCCESSFUL_KINDS: ReadonlySet<ExchangeEnd['kind']> = new Set([
+const SUCCESSFUL_KINDS: ReadonlySet<ExchangeOutcome['kind']> = new Set([
   'answered',
   'streamed',
 ]);
 
-function errorOf(kind: ExchangeEnd['kind']): string | undefined {
+function errorOf(kind: ExchangeOutcome['kind']): string | undefined {
   return SUCCESSFUL_KINDS.has(kind) ? undefined : kind;
 }
--- a/packages/gateway/src/lib/request/response_writer.ts
+++ b/packages/gateway/src/lib/request/response_writer.ts
@@ -3,7 +3,7 @@
  * failure.
  */
 import type {ServerResponse} from 'node:http';
-import type {AnswerHead, EventSink} from './exchange.js';
+import type {ResponseHead, EventSink} from './exchange.js';
 import {endToEndHeaders} from './forwarded_headers.js';
 import type {StreamEvent} from './stream_events.js';
 import type {Headers} from './target_protocol.js';
@@ -59,7 +59,7 @@
   }
 
   /** {@inheritDoc EventSink.events} */
-  events(events: readonly StreamEvent[], head: AnswerHead): boolean {
+  events(events: readonly StreamEvent[], head: ResponseHead): boolean {
     if (!this.hasStarted) this.writeHead(head);
     this.lastWrittenId = events.at(-1)!.id ?? this.lastWrittenId;
     const bytes = events.map(event => event.bytes);
@@ -77,7 +77,7 @@
    * @param head - Status and headers of the last run, written now if the stream
    *     had no events.
    */
-  endStream(head: AnswerHead): void {
+  endStream(head: ResponseHead): void {
     if (!this.hasStarted) this.writeHead(head);
     this.res.end();
   }
@@ -94,7 +94,7 @@
    * @param head - Status and headers of the target's response.
    * @param body - The complete body.
    */
-  sendComplete(head: AnswerHead, body: Buffer): void {
+  sendComplete(head: ResponseHead, body: Buffer): void {
     this.startTime = this.now();
     const headers = {...endToEndHeaders(head.headers)};
     this.res.writeHead(head.status, {
@@ -121,7 +121,7 @@
     this.res.end();
   }
 
-  private writeHead(head: AnswerHead): void {
+  private writeHead(head: ResponseHead): void {
     this.startTime = this.now();
     this.res.writeHead(
       head.status,
--- a/packages/gateway/src/lib/request/stream_events.ts
+++ b/packages/gateway/src/lib/request/stream_events.ts
@@ -51,7 +51,7 @@
  * @param event - An event of a stream.
  * @returns Its `data` lines, joined by line feeds.
  */
-export function dataOf(event: StreamEvent): string {
+export function eventData(event: StreamEvent): string {
   const lines = event.bytes.toString('utf8').matchAll(DATA_LINE);
   return [...lines].map(line => line[1]!).join('\n');
 }
--- a/packages/gateway/src/lib/request/target_protocol.ts
+++ b/packages/gateway/src/lib/request/target_protocol.ts
@@ -10,7 +10,7 @@
 export type Headers = Readonly<Record<string, string | readonly string[]>>;
 
 /** Metadata in the headers of a caller's request. */
-export interface RequestFacts {
+export interface RequestMetadata {
   /**
    * Identifies this request of the caller. The target's response repeats it.
    */
@@ -36,7 +36,7 @@
 }
 
 /** Metadata that the gateway adds to the caller's own headers. */
-export interface SendFacts {
+export interface ForwardMetadata {
   /** Identifies the request; undefined if the caller sent no request id. */
   readonly requestId: string | undefined;
   /** Server that the request is meant for. Any other server refuses it. */
@@ -53,7 +53,7 @@
 }
 
 /** Metadata in the status and headers of a target's response. */
-export interface AnswerFacts {
+export interface ResponseMetadata {
   /** Identifies the request that the response belongs to. */
   readonly requestId: string | undefined;
   /** Whether the response has the target's seal, which vouches for the body. */
@@ -61,9 +61,9 @@
   /** Whether the target states that it did not run the request. */
   readonly notRun: boolean;
   /** Whether the body has a content encoding that was not requested. */
-  readonly encoded: boolean;
+  readonly hasUnexpectedEncoding: boolean;
   /** Whether the body is a stream of events. */
-  readonly eventStream: boolean;
+  readonly isEventStream: boolean;
 }
 
 /** Maps between the gateway's metadata and the headers on the wire. */
@@ -72,19 +72,19 @@
    * @param headers - Headers of a caller's request.
    * @returns The metadata of the request.
    */
-  readRequest(headers: IncomingHttpHeaders): RequestFacts;
+  readRequest(headers: IncomingHttpHeaders): RequestMetadata;
   /**
    * @param headers - Headers of the caller that are forwarded.
    * @param metadata - Metadata that the gateway adds.
    * @returns The headers for the target.
    */
-  requestHeaders(headers: Headers, metadata: SendFacts): Headers;
+  requestHeaders(headers: Headers, metadata: ForwardMetadata): Headers;
   /**
    * @param status - HTTP status of a target's response.
    * @param headers - Headers of a target's response.
    * @returns The metadata of the response.
    */
-  readAnswer(status: number, headers: IncomingHttpHeaders): AnswerFacts;
+  readResponse(status: number, headers: IncomingHttpHeaders): ResponseMetadata;
   /**
    * @param ms - Delay before the caller should retry, in milliseconds.
    * @returns The headers that state it.
@@ -95,5 +95,5 @@
    *     milliseconds.
    * @returns Longest retry delay that callers comply with, in milliseconds.
    */
-  latestReturnMs(leftMs: number): number;
+  maxRetryAfterMs(leftMs: number): number;
 }
--- a/packages/gateway/src/lib/request/target_send.ts
+++ b/packages/gateway/src/lib/request/target_send.ts
@@ -15,7 +15,7 @@
   Exchange,
   type EventSink,
   type ExchangeControl,
-  type ExchangeEnd,
+  type ExchangeOutcome,
   type TargetRequest,
 } from './exchange.js';
 import type {TargetProtocol} from './target_protocol.js';
@@ -45,7 +45,7 @@
 /** A request in flight and its outcome. */
 export interface ActiveSend {
   readonly control: ExchangeControl;
-  readonly end: Promise<ExchangeEnd>;
+  readonly end: Promise<ExchangeOutcome>;
 }
 
 /**
@@ -68,7 +68,7 @@
   const load = loads.begin(targetKey(target.id), lane);
   const connection = pool.acquire(target.id, target.address);
   const now = () => clock.now();
-  const onActivity = () => context.suspensions.heard(target.id);
+  const onActivity = () => context.suspensions.recordActivity(target.id);
   const exchange = new Exchange(connection, req, {
     protocol,
     sink,
@@ -78,16 +78,16 @@
   exchange.start();
   const sentAt = clock.now();
   const silenceTimer = clock.after(SILENT_TARGET_MS, () => {
-    if (!context.suspensions.heardSince(target.id, sentAt))
+    if (!context.suspensions.hasActivitySince(target.id, sentAt))
       recordFailure(context, target, 'silent');
     // The target responds to most requests, including health checks, but not to
     // this one. Only the sender can detect that, so the target gets a smaller
     // traffic share without being suspended. At a full target, the request may
     // just be queued.
     else if (exchange.firstByteMs === undefined && !isFull(loads, target))
-      context.health.failed(target);
+      context.health.recordFailure(target);
   });
-  const restartListener = context.directory.onceRestarted(target, () =>
+  const restartListener = context.directory.onRestarted(target, () =>
     exchange.end('restarted'),
   );
   const end = exchange.outcome$.then(outcome => {
@@ -99,7 +99,7 @@
     recordOutcome(context, target, lane, outcome, exchange.firstByteMs);
     const firstByteMs = exchange.firstByteMs;
     if (lane === 'online' && hadFreeSlot && isComplete(outcome) && firstByteMs)
-      context.overload.ran(target.service, {
+      context.overload.recordRun(target.service, {
         firstByteMs,
         runMs: clock.now() - sentAt,
       });
@@ -109,12 +109,12 @@
 }
 
 function hasFreeSlot(loads: LoadTable, {id, slots}: Target): boolean {
-  const {online, batch} = loads.at(targetKey(id));
+  const {online, batch} = loads.totalAt(targetKey(id));
   return online + batch < slots;
 }
 
 function isFull(loads: LoadTable, {id, slots}: Target): boolean {
-  const {online, batch} = loads.at(targetKey(id));
+  const {online, batch} = loads.totalAt(targetKey(id));
   return online + batch > slots;
 }
 
@@ -123,7 +123,7 @@
   context: SendContext,
   target: Target,
   lane: Lane,
-  outcome: ExchangeEnd,
+  outcome: ExchangeOutcome,
   firstByteMs: number | undefined,
 ): void {
   const {suspensions, health, counters} = context;
@@ -131,12 +131,13 @@
   switch (outcome.kind) {
     case 'answered':
     case 'streamed':
-      suspensions.succeeded(target.id);
-      if (isTargetError(outcome)) health.failed(target);
-      else if (lane === 'online') health.answered(target, firstByteMs ?? 0);
+      suspensions.recordSuccess(target.id);
+      if (isTargetError(outcome)) health.recordFailure(target);
+      else if (lane === 'online')
+        health.recordSuccess(target, firstByteMs ?? 0);
       return;
     case 'declined':
-      suspensions.declined(target.id);
+      suspensions.recordDecline(target.id);
       return;
     case 'unsent':
     case 'broken':
@@ -147,11 +148,11 @@
   }
 }
 
-function isComplete(outcome: ExchangeEnd): boolean {
+function isComplete(outcome: ExchangeOutcome): boolean {
   return outcome.kind === 'streamed' || outcome.kind === 'answered';
 }
 
-function isTargetError(outcome: ExchangeEnd): boolean {
+function isTargetError(outcome: ExchangeOutcome): boolean {
   return (
     outcome.kind === 'answered' && outcome.head.status >= STATUS_SERVER_ERROR
   );
@@ -162,6 +163,6 @@
   target: Target,
   reason: string,
 ): void {
-  context.suspensions.failed(target.id, reason);
-  context.health.failed(target);
+  context.suspensions.recordFailure(target.id, reason);
+  context.health.recordFailure(target);
 }
--- a/packages/gateway/src/lib/version/account_table.ts
+++ b/packages/gateway/src/lib/version/account_table.ts
@@ -33,7 +33,7 @@
    * @param declared - All accounts of the configuration.
    * @returns The index, or the first conflict that was found.
    */
-  static of(
+  static create(
     declared: readonly DeclaredAccount[],
   ): Outcome<AccountTable, AccountError> {
     const table = new AccountTable();
@@ -62,7 +62,7 @@
    * @param name - Name of an account.
    * @returns The account; undefined if there is none of this name.
    */
-  named(name: string): ClientAccount | undefined {
+  findByName(name: string): ClientAccount | undefined {
     return this.byName.get(name);
   }
 
@@ -71,7 +71,7 @@
    * @returns The account that the key belongs to; undefined if the key is
    *     unknown.
    */
-  ofKey(key: string): ClientAccount | undefined {
+  findByKey(key: string): ClientAccount | undefined {
     return this.accountsByKey.ownerOf(key);
   }
 }
--- a/packages/gateway/src/test/connection/load_pace_test.ts
+++ b/packages/gateway/src/test/connection/load_intervals_test.ts
@@ -1,5 +1,8 @@
 import test from 'ava';
-import {loadPlan, loadIntervals} from '../../lib/connection/load_pace.js';
+import {
+  planLoadReports,
+  loadIntervals,
+} from '../../lib/connection/load_intervals.js';
 
 const OPTIONS = {periodMs: 60, maxDatagramsPerSecond: 150};
 const MS_PER_SECOND = 1000;
@@ -41,7 +44,7 @@
     [14, 73, 5],
     [56, 283, 5],
   ] as const) {
-    const plan = loadPlan(near, far, dataCentres, options);
+    const plan = planLoadReports(near, far, dataCentres, options);
     if (plan.kind !== 'relayed') return t.fail(`${near} and ${far}`);
     t.true(plan.relayMs + plan.nearMs < 1000, `${near} and ${far}`);
     const sent = near / plan.nearMs + dataCentres / plan.relayMs;
@@ -51,6 +54,6 @@
 
 test('hosts of a small fleet report to each other directly', t => {
   const options = {...OPTIONS, directFarMs: 333, relayMs: 500};
-  t.is(loadPlan(2, 6, 3, options).kind, 'direct');
-  t.is(loadPlan(30, 0, 0, options).kind, 'direct');
+  t.is(planLoadReports(2, 6, 3, options).kind, 'direct');
+  t.is(planLoadReports(30, 0, 0, options).kind, 'direct');
 });
--- a/packages/gateway/src/test/experiments/quota_ways.ts
+++ b/packages/gateway/src/test/experiments/quota_strategies.ts
@@ -15,7 +15,7 @@
   type RequestQuota,
 } from '@oathead/core';
 import {
-  QuotaFleet,
+  QuotaFleetSimulator,
   type QuotaScenario,
   type QuotaStrategy,
 } from '../fakes/quota_fleet.js';
@@ -49,7 +49,7 @@
   const limits = [...Array(hosts).keys()].map(() => new CallerLimits(hosts));
   for (const [account, {perSecond, burst}] of Object.entries(QUOTAS))
     for (const limit of limits)
-      limit.declare(
+      limit.setLimit(
         account,
         {
           requestsPerSecond: perSecond,
@@ -61,19 +61,23 @@
       );
   return {
     take: (host, account, at) =>
-      limits[host]!.begin(account, 1, at) === undefined,
+      limits[host]!.admit(account, 1, at) === undefined,
     tick: (fleet, at) => {
       if (at % REPORT_INTERVAL_MS !== 0) return 0;
-      const uses = limits.map(limit => limit.use(at));
+      const uses = limits.map(limit => limit.demand(at));
       let messages = 0;
       for (const account of Object.keys(QUOTAS)) {
         const asked = uses.map(use => use.get(account)!.requests);
         const sum = asked.reduce((all, one) => all + one, 0);
         limits.forEach((limit, i) => {
-          if (!limit.isNear(account)) return;
+          if (!limit.isNearLimit(account)) return;
           messages += 2;
           const requests = sum - asked[i]!;
-          limit.learn(account, {requests, tokens: 0, concurrent: 0}, at);
+          limit.applyPeerDemand(
+            account,
+            {requests, tokens: 0, concurrent: 0},
+            at,
+          );
         });
       }
       return messages;
@@ -123,10 +127,12 @@
  * @returns The most requests granted in a window, as a fraction of what the
  *     quota allows in a window.
  */
-function peakShareOfQuota(fleet: QuotaFleet, account: string): string {
+function peakShareOfQuota(fleet: QuotaFleetSimulator, account: string): string {
   const {perSecond, burst} = QUOTAS[account]!;
   const allowed = (perSecond * TOLERANCE.windowMs) / 1000 + burst;
-  return (fleet.mostInWindow(account, TOLERANCE.windowMs) / allowed).toFixed(2);
+  return (
+    fleet.maxGrantedInWindow(account, TOLERANCE.windowMs) / allowed
+  ).toFixed(2);
 }
 
 console.log(
@@ -136,7 +142,7 @@
 for (const hosts of [9, 28, 88, 340])
   for (const [demand, {hostOf}] of Object.entries(DEMANDS))
     for (const [name, strategy] of Object.entries(STRATEGIES)) {
-      const fleet = await QuotaFleet.run({
+      const fleet = await QuotaFleetSimulator.run({
         hosts,
         quotas: QUOTAS,
         tolerance: TOLERANCE,
--- a/packages/gateway/src/test/fakes/fake_clock.ts
+++ b/packages/gateway/src/test/fakes/fake_clock.ts
@@ -25,7 +25,7 @@
   }
 
   /** @param ms - How far to advance the clock, in milliseconds. */
-  pass(ms: number): void {
+  advance(ms: number): void {
     this.time += ms;
     for (const timer of [...this.timers]) {
       if (timer.at > this.time) continue;
--- a/packages/gateway/src/test/fakes/wide_fleet.ts
+++ b/packages/gateway/src/test/fakes/fleet_simulator.ts
@@ -7,7 +7,7 @@
 import {
   NO_COUNTERS,
   NO_EVENT_LOG,
-  patienceMs,
+  maxQueueWaitMs,
   seededRandom,
   type Random,
 } from '@oathead/core';
@@ -23,13 +23,13 @@
 } from '../../lib/connection/placement_message.js';
 import type {Target} from '../../lib/connection/target.js';
 import {Coordinator} from '../../lib/process/coordinator.js';
-import {HomeTargets} from '../../lib/process/home_targets.js';
+import {PreferredTargets} from '../../lib/process/preferred_targets.js';
 import {LoadTable} from '../../lib/process/load_table.js';
 import {
-  LoadTelling,
+  LoadReporter,
   type LoadPeer,
-  type LoadTellingOptions,
-} from '../../lib/process/load_telling.js';
+  type LoadReportOptions,
+} from '../../lib/process/load_reporter.js';
 import {Placement} from '../../lib/process/placement.js';
 import {ServiceHealth} from '../../lib/process/service_health.js';
 import {ServiceOverload} from '../../lib/process/service_overload.js';
@@ -40,10 +40,10 @@
 import {TargetDirectory} from '../../lib/process/target_directory.js';
 import {TargetSuspensions} from '../../lib/process/target_suspensions.js';
 import {FakeClock} from './fake_clock.js';
-import {targetOf} from './targets.js';
+import {newTarget} from './targets.js';
 
 /** The simulated fleet and its load. */
-export interface WideLoad {
+export interface FleetScenario {
   readonly seed: number;
   readonly dataCentres: number;
   /** Number of hosts and of targets in each data centre. */
@@ -59,7 +59,7 @@
   readonly pressure: BatchPressure;
   readonly goalMs: number;
   /** How long callers wait for a response, in milliseconds. */
-  readonly patienceMs: number;
+  readonly callerTimeoutMs: number;
   /** Arrivals per second during the burst and before it. */
   readonly burstRate: number;
   readonly calmRate: number;
@@ -67,7 +67,7 @@
    * Number of callers in the first data centre for each caller in another one;
    * 1 by default.
    */
-  readonly crowding?: number;
+  readonly firstDataCentreWeight?: number;
   /** Start of the burst and end of the simulation, in milliseconds. */
   readonly burstAtMs: number;
   readonly lengthMs: number;
@@ -76,14 +76,14 @@
 /**
  * Parameters of the load reports, and whether data centres have coordinators.
  */
-export interface WideOptions extends LoadTellingOptions {
+export interface FleetOptions extends LoadReportOptions {
   readonly coordinated: boolean;
   /**
    * Whether slots in other data centres are requested from their coordinators.
    */
-  readonly asksOthers?: boolean;
+  readonly asksRemoteCoordinators?: boolean;
   /** Time after which coordinators no longer reply, in milliseconds. */
-  readonly coordinatorsLostAtMs?: number;
+  readonly coordinatorsFailAtMs?: number;
 }
 
 /** Outcomes of the requests and batch items, and number of messages. */
@@ -127,7 +127,7 @@
 
 interface Host extends LoadPeer {
   readonly loads: LoadTable;
-  readonly reporter: LoadTelling<Host>;
+  readonly reporter: LoadReporter<Host>;
   readonly chooser: TargetChooser;
   readonly placement: Placement<Host>;
   readonly overload: ServiceOverload;
@@ -152,7 +152,7 @@
 const NO_TARGETS: ReadonlySet<string> = new Set();
 
 /** Simulates a fleet. */
-export class WideFleet {
+export class FleetSimulator {
   private readonly random: Random;
   private readonly clock = new FakeClock();
   private readonly targets: readonly Target[];
@@ -179,14 +179,14 @@
    * @param options - Parameters of load reports and coordination.
    */
   constructor(
-    private readonly load: WideLoad,
-    private readonly options: WideOptions,
+    private readonly load: FleetScenario,
+    private readonly options: FleetOptions,
   ) {
     this.random = seededRandom(load.seed);
     const places = [...Array(load.dataCentres).keys()].map(i => `dc${i}`);
     this.targets = places.flatMap(dataCentre =>
       [...Array(load.targets).keys()].map(i =>
-        targetOf(`${dataCentre}-t${i}`, {
+        newTarget(`${dataCentre}-t${i}`, {
           dataCentre,
           slots: load.slots,
           service: SERVICE,
@@ -202,10 +202,10 @@
   }
 
   /** @returns Outcomes of all requests. */
-  async play(): Promise<FleetOutcome> {
+  async run(): Promise<FleetOutcome> {
     while (this.now < this.load.lengthMs) {
       this.step();
-      this.clock.pass(STEP_MS);
+      this.clock.advance(STEP_MS);
       // Lets replies that arrived in this step take effect within it.
       await new Promise(resolve => setImmediate(resolve));
     }
@@ -241,11 +241,15 @@
       health: new ServiceHealth(clock),
       overload,
       loads,
-      homes: new HomeTargets({self: id, dataCentre, hosts: hostCount}),
+      preferredTargets: new PreferredTargets({
+        self: id,
+        dataCentre,
+        hosts: hostCount,
+      }),
       random,
     });
     const self = {id, dataCentre};
-    const reporter = new LoadTelling<Host>(
+    const reporter = new LoadReporter<Host>(
       {self, table: loads, now, random},
       this.options,
     );
@@ -256,14 +260,22 @@
       counters: NO_COUNTERS,
       chooser,
       directory,
-      own: new Coordinator({self: id, dataCentre, chooser, loads, now}),
+      localCoordinator: new Coordinator({
+        self: id,
+        dataCentre,
+        chooser,
+        loads,
+        now,
+      }),
       coordinator: () =>
         this.options.coordinated ? reporter.coordinator : undefined,
       coordinatorOf: name =>
-        this.options.asksOthers ? reporter.coordinatorOf(name) : undefined,
+        this.options.asksRemoteCoordinators
+          ? reporter.coordinatorOf(name)
+          : undefined,
       peer: peer => this.hosts.find(one => one.id === peer),
       send: (message, to) => this.post(message, to),
-      onYield: (targetId, items) => this.preemptItems(id, targetId, items),
+      onPreempt: (targetId, items) => this.preemptItems(id, targetId, items),
     });
     const tickPhaseMs = random.int(this.options.periodMs / STEP_MS) * STEP_MS;
     const itemsWaiting = [...Array(this.load.items).keys()].map(() => 0);
@@ -300,10 +312,11 @@
   private post(message: PlacementMessage, to: Host): void {
     const bytes = encodePlacement(message);
     this.outcome.messages++;
-    const {coordinatorsLostAtMs = Infinity} = this.options;
+    const {coordinatorsFailAtMs: coordinatorsLostAtMs = Infinity} =
+      this.options;
     if (message.kind === 'ask' && this.now >= coordinatorsLostAtMs) return;
     this.undeliveredMessages.push(() =>
-      to.placement.hear(decodePlacement(bytes)!),
+      to.placement.receive(decodePlacement(bytes)!),
     );
   }
 
@@ -332,7 +345,7 @@
   }
 
   private pickHost(): Host {
-    const {hosts, dataCentres, crowding = 1} = this.load;
+    const {hosts, dataCentres, firstDataCentreWeight: crowding = 1} = this.load;
     const place = this.random.float() * (dataCentres - 1 + crowding) - crowding;
     const dataCentre = place < 0 ? 0 : 1 + Math.floor(place);
     return this.hosts[dataCentre * hosts + this.random.int(hosts)]!;
@@ -344,7 +357,7 @@
     const demand = {goalMs, priority: 0, returning};
     const target = await host.placement.forRequest(SERVICE, demand, NO_TARGETS);
     if (target) this.send(host, target, caller);
-    else if (this.now < lastArrivalAt + patienceMs(demand))
+    else if (this.now < lastArrivalAt + maxQueueWaitMs(demand))
       this.waiting.push(caller);
     else this.refuse(caller);
   }
@@ -354,7 +367,7 @@
       this.outcome.failed++;
       return;
     }
-    const leftMs = this.load.patienceMs - (this.now - caller.arrivedAt);
+    const leftMs = this.load.callerTimeoutMs - (this.now - caller.arrivedAt);
     const latestMs = leftMs * MAX_RETRY_DELAY_SHARE;
     const inMs = caller.host.overload.returnAfterMs(SERVICE, latestMs);
     const lastArrivalAt = this.now + inMs;
@@ -369,7 +382,7 @@
 
   private send(host: Host, target: Target, caller: Caller | undefined): void {
     const key = targetKey(target.id);
-    const {online, batch} = host.loads.at(key);
+    const {online, batch} = host.loads.totalAt(key);
     const hadFreeSlot = online + batch < target.slots;
     const load = host.loads.begin(key, caller ? 'online' : 'batch');
     const {runMs, itemMs} = this.load;
@@ -420,7 +433,7 @@
       const runMs = this.now - run.sentAt;
       const waitedMs = run.startsAt! - run.sentAt;
       const pace = {firstByteMs: waitedMs + firstByteMs, runMs};
-      run.host.overload.ran(SERVICE, pace);
+      run.host.overload.recordRun(SERVICE, pace);
     }
   }
 
@@ -458,11 +471,11 @@
 
   private reportLoad(host: Host): void {
     const peers = this.hosts.filter(one => one !== host);
-    for (const {message, peers: to} of host.reporter.due(peers)) {
+    for (const {message, peers: to} of host.reporter.takeDueReports(peers)) {
       const bytes = encodeLoad(message);
       for (const peer of to) {
         this.undeliveredMessages.push(() =>
-          peer.reporter.hear(decodeLoad(bytes)!),
+          peer.reporter.receive(decodeLoad(bytes)!),
         );
         this.outcome.messages++;
         if (peer.dataCentre !== host.dataCentre)
@@ -473,7 +486,7 @@
 
   private preemptExcessItems(host: Host): void {
     for (const target of this.targets) {
-      const count = host.chooser.itemsToYield(target, host.id);
+      const count = host.chooser.itemsToPreempt(target, host.id);
       if (count > 0) this.preemptItems(host.id, target.id, count);
     }
   }
--- a/packages/gateway/src/test/fakes/quota_fleet.ts
+++ b/packages/gateway/src/test/fakes/quota_fleet.ts
@@ -14,7 +14,7 @@
 import {decodeQuota, encodeQuota} from '../../lib/connection/quota_message.js';
 import {
   AccountQuotas,
-  type CountingHost,
+  type QuotaHost,
 } from '../../lib/process/account_quotas.js';
 import {FakeClock} from './fake_clock.js';
 
@@ -32,7 +32,7 @@
   readonly hostOf?: (account: string, atMs: number, random: Random) => number;
   readonly lengthMs: number;
   /** Called every millisecond; may change the fleet. */
-  readonly onTick?: (fleet: QuotaFleet, atMs: number) => void;
+  readonly onTick?: (fleet: QuotaFleetSimulator, atMs: number) => void;
   readonly seed?: number;
   /** Decides instead of {@link AccountQuotas}, to compare strategies. */
   readonly strategy?: QuotaStrategy;
@@ -58,7 +58,7 @@
    *
    * @returns Number of datagrams sent.
    */
-  tick(fleet: QuotaFleet, at: number): number;
+  tick(fleet: QuotaFleetSimulator, at: number): number;
 }
 
 /** A request that was granted or refused. */
@@ -74,7 +74,7 @@
 const SECOND_MS = 1000;
 
 interface SimulatedHost {
-  readonly address: CountingHost;
+  readonly address: QuotaHost;
   quotas: AccountQuotas;
   alive: boolean;
   /** Indices of the hosts that this host considers live. */
@@ -82,12 +82,12 @@
 }
 
 /** A simulated fleet and the requests that it handled. */
-export class QuotaFleet {
+export class QuotaFleetSimulator {
   readonly requests: SimulatedRequest[] = [];
   /** Number of datagrams sent. */
   messages = 0;
   /** Whether a datagram from one host reaches another. */
-  reaches: (from: number, to: number) => boolean = () => true;
+  isReachable: (from: number, to: number) => boolean = () => true;
   private readonly clock = new FakeClock();
   private readonly random: Random;
   private readonly hosts: SimulatedHost[] = [];
@@ -95,7 +95,7 @@
   private constructor(private readonly scenario: QuotaScenario) {
     this.random = seededRandom(scenario.seed ?? 1);
     for (let i = 0; i < scenario.hosts; i++) this.addHost();
-    this.setViews();
+    this.updateViews();
     for (const {quotas} of this.hosts) quotas.start();
   }
 
@@ -103,14 +103,14 @@
    * @param scenario - The scenario to simulate.
    * @returns The fleet after the simulation.
    */
-  static async run(scenario: QuotaScenario): Promise<QuotaFleet> {
-    const fleet = new QuotaFleet(scenario);
+  static async run(scenario: QuotaScenario): Promise<QuotaFleetSimulator> {
+    const fleet = new QuotaFleetSimulator(scenario);
     await fleet.run();
     return fleet;
   }
 
   /** Updates the host lists of all hosts to the hosts that are live now. */
-  setViews(): void {
+  updateViews(): void {
     const live = [...this.hosts.keys()].filter(i => this.hosts[i]!.alive);
     for (const host of this.hosts) host.view = live;
   }
@@ -118,7 +118,7 @@
   /**
    * @param host - Host that crashes. The other hosts still consider it live.
    */
-  lose(host: number): void {
+  crash(host: number): void {
     this.hosts[host]!.alive = false;
   }
 
@@ -130,7 +130,7 @@
     restarted.quotas.start();
   }
 
-  /** Adds a host. The other hosts know it only after {@link setViews}. */
+  /** Adds a host. The other hosts know it only after {@link updateViews}. */
   addHost(): void {
     const i = this.hosts.length;
     const address = {id: `h${i}.1`, host: `h${i}`, ip: '127.0.0.1', port: i};
@@ -148,7 +148,7 @@
    * @param windowMs - Length of the window, in milliseconds.
    * @returns The most requests of the account that were granted in any window.
    */
-  mostInWindow(account: string, windowMs: number): number {
+  maxGrantedInWindow(account: string, windowMs: number): number {
     const times = this.requests
       .filter(one => one.account === account && one.granted)
       .map(({at}) => at);
@@ -171,7 +171,7 @@
     return own.length === 0 ? 0 : refused / own.length;
   }
 
-  private newQuotas(i: number, self: CountingHost): AccountQuotas {
+  private newQuotas(i: number, self: QuotaHost): AccountQuotas {
     return new AccountQuotas({
       self,
       clock: this.clock,
@@ -187,10 +187,10 @@
 
   private send(from: number, to: number, datagram: Uint8Array): void {
     this.messages++;
-    if (!this.hosts[from]!.alive || !this.reaches(from, to)) return;
+    if (!this.hosts[from]!.alive || !this.isReachable(from, to)) return;
     this.clock.after(LATENCY_MS, () => {
       const host = this.hosts[to]!;
-      if (host.alive) host.quotas.hear(decodeQuota(datagram)!);
+      if (host.alive) host.quotas.receive(decodeQuota(datagram)!);
     });
   }
 
@@ -201,7 +201,7 @@
       this.messages += this.scenario.strategy?.tick(this, at) ?? 0;
       for (const account of Object.keys(quotas))
         this.generateArrivals(account, at);
-      this.clock.pass(1);
+      this.clock.advance(1);
       await new Promise(resolve => setImmediate(resolve));
     }
   }
--- a/packages/gateway/src/test/fakes/raw_target.ts
+++ b/packages/gateway/src/test/fakes/raw_target.ts
@@ -15,15 +15,15 @@
     key: undefined,
   }),
   requestHeaders: headers => headers,
-  readAnswer: (status, headers) => ({
+  readResponse: (status, headers) => ({
     requestId: headers['id'] as string | undefined,
     sealed: headers['seal'] !== undefined,
     notRun: headers['not-run'] !== undefined || status === 421,
-    encoded: headers['content-encoding'] !== undefined,
-    eventStream: headers['content-type'] === 'text/event-stream',
+    hasUnexpectedEncoding: headers['content-encoding'] !== undefined,
+    isEventStream: headers['content-type'] === 'text/event-stream',
   }),
   retryAfter: () => ({}),
-  latestReturnMs: leftMs => leftMs,
+  maxRetryAfterMs: leftMs => leftMs,
 };
 
 /**
--- a/packages/gateway/src/test/fakes/targets.ts
+++ b/packages/gateway/src/test/fakes/targets.ts
@@ -13,7 +13,7 @@
 };
 
 /** @returns A target with the given id. */
-export function targetOf(id: string, overrides: Partial<Target> = {}): Target {
+export function newTarget(id: string, overrides: Partial<Target> = {}): Target {
   return {...BASE_TARGET, id, serverId: id, ...overrides};
 }
 
@@ -21,7 +21,7 @@
  * @returns One incarnation of a server that keeps its server id after a
  *     restart.
  */
-export function runOf(
+export function newIncarnation(
   serverId: string,
   startedAtMs: number,
   overrides: Partial<Target> = {},
--- a/packages/gateway/src/test/process/account_quotas_test.ts
+++ b/packages/gateway/src/test/process/account_quotas_test.ts
@@ -1,6 +1,6 @@
 import type {QuotaTolerance, RequestQuota} from '@oathead/core';
 import test from 'ava';
-import {QuotaFleet} from '../fakes/quota_fleet.js';
+import {QuotaFleetSimulator} from '../fakes/quota_fleet.js';
 
 const TOLERANCE: QuotaTolerance = {windowMs: 5000, overage: 0.1, slack: 20};
 const LARGE: RequestQuota = {perSecond: 64, burst: 64};
@@ -36,10 +36,10 @@
 
 function assertWithin(
   t: {true: (ok: boolean, message: string) => void},
-  fleet: QuotaFleet,
+  fleet: QuotaFleetSimulator,
 ) {
   for (const account of ['large', 'small'] as const) {
-    const counted = fleet.mostInWindow(account, TOLERANCE.windowMs);
+    const counted = fleet.maxGrantedInWindow(account, TOLERANCE.windowMs);
     const bound = maxInWindow(QUOTAS[account]);
     t.true(counted <= bound, `${account}: ${counted} of ${bound}`);
   }
@@ -57,9 +57,9 @@
 // only a small part of their quota at a host.
 for (const hosts of [9, 28, 88]) {
   test(`a flood at ${hosts} hosts gets its quota and others are not refused`, async t => {
-    const fleet = await QuotaFleet.run({...FLEET, hosts});
+    const fleet = await QuotaFleetSimulator.run({...FLEET, hosts});
     assertWithin(t, fleet);
-    t.true(fleet.mostInWindow('large', 5000) >= LARGE.perSecond * 5);
+    t.true(fleet.maxGrantedInWindow('large', 5000) >= LARGE.perSecond * 5);
     t.is(fleet.refusedShare('calm'), 0);
   });
 }
@@ -67,19 +67,19 @@
 // All callers of an account switch from one host to another at the same moment.
 test('a quota follows its demand to another host at once', async t => {
   const hostOf = (account: string, at: number) => (at < 7000 ? 3 : 17);
-  const fleet = await QuotaFleet.run({...FLEET, hosts: 28, hostOf});
+  const fleet = await QuotaFleetSimulator.run({...FLEET, hosts: 28, hostOf});
   assertWithin(t, fleet);
   t.is(fleet.refusedShare('calm'), 0);
 });
 
 // Half of the hosts cannot reach the other half while an account floods both.
 test('a network partition does not grant the quota twice', async t => {
-  const fleet = await QuotaFleet.run({
+  const fleet = await QuotaFleetSimulator.run({
     ...FLEET,
     hosts: 28,
     onTick: (fleet, at) => {
       const isCut = at >= 5000 && at < 10_000;
-      fleet.reaches = (from, to) => !isCut || from % 2 === to % 2;
+      fleet.isReachable = (from, to) => !isCut || from % 2 === to % 2;
     },
   });
   assertWithin(t, fleet);
@@ -88,11 +88,11 @@
 // All hosts fail and restart, and each owner of an account starts counting anew
 // with a full burst.
 test('hosts that fail and restart grant no second burst', async t => {
-  const fleet = await QuotaFleet.run({
+  const fleet = await QuotaFleetSimulator.run({
     ...FLEET,
     hosts: 28,
     onTick: (fleet, at) => {
-      if (at === 5000) for (let i = 0; i < 28; i++) fleet.lose(i);
+      if (at === 5000) for (let i = 0; i < 28; i++) fleet.crash(i);
       if (at === 5900) for (let i = 0; i < 28; i++) fleet.restart(i);
     },
   });
@@ -102,14 +102,14 @@
 // Hosts join and fail during a flood. As the others learn of it at different
 // times, two hosts may count the same account.
 test('hosts that join and fail grant no second quota', async t => {
-  const fleet = await QuotaFleet.run({
+  const fleet = await QuotaFleetSimulator.run({
     ...FLEET,
     hosts: 28,
     onTick: (fleet, at) => {
       if (at === 4000) for (let i = 0; i < 8; i++) fleet.addHost();
-      if (at === 4700) fleet.setViews();
-      if (at === 8000) for (let i = 0; i < 9; i++) fleet.lose(i);
-      if (at === 11_500) fleet.setViews();
+      if (at === 4700) fleet.updateViews();
+      if (at === 8000) for (let i = 0; i < 9; i++) fleet.crash(i);
+      if (at === 11_500) fleet.updateViews();
     },
   });
   assertWithin(t, fleet);
@@ -119,11 +119,11 @@
 // tenth datagram.
 test('with datagram loss few requests within a quota are refused', async t => {
   let sent = 0;
-  const fleet = await QuotaFleet.run({
+  const fleet = await QuotaFleetSimulator.run({
     ...FLEET,
     hosts: 28,
     onTick: fleet => {
-      fleet.reaches = () => ++sent % 10 !== 0;
+      fleet.isReachable = () => ++sent % 10 !== 0;
     },
   });
   assertWithin(t, fleet);
--- a/packages/gateway/src/test/process/crash_suspects_test.ts
+++ b/packages/gateway/src/test/process/crash_suspects_test.ts
@@ -6,7 +6,7 @@
   SUSPECT_TABLE,
 } from '../../lib/process/crash_suspects.js';
 import {TargetDirectory} from '../../lib/process/target_directory.js';
-import {targetOf} from '../fakes/targets.js';
+import {newTarget} from '../fakes/targets.js';
 
 /** Three heartbeat intervals of 1.2 s. */
 const EXPIRY_MS = 3600;
@@ -24,7 +24,13 @@
   const directory = new TargetDirectory({clock, log});
   const lapseMs = () => EXPIRY_MS;
   return {
-    suspects: new CrashSuspects({store, clock, log, directory, lapseMs}),
+    suspects: new CrashSuspects({
+      store,
+      clock,
+      log,
+      directory,
+      expiryMs: lapseMs,
+    }),
     directory,
     advance: (ms: number) => {
       now += ms;
@@ -33,7 +39,7 @@
     advanceWithReads: (ms: number) => {
       for (let i = 0; i < ms; i += READ_EVERY_MS) {
         now += READ_EVERY_MS;
-        directory.listRead();
+        directory.recordListRead();
       }
     },
   };
@@ -55,9 +61,9 @@
 // its ID. Every incarnation of a server must count.
 test('each crashed incarnation of one server counts', t => {
   const {suspects} = newSuspects();
-  for (const id of ['i-1@1', 'i-1@2']) suspects.broke('p', id);
+  for (const id of ['i-1@1', 'i-1@2']) suspects.recordBrokenRun('p', id);
   t.false(suspects.isBlocked('p'));
-  suspects.broke('p', 'i-1@3');
+  suspects.recordBrokenRun('p', 'i-1@3');
   t.true(suspects.isBlocked('p'));
 });
 
@@ -65,7 +71,7 @@
 // concurrently. Neither write may discard what the other host knows.
 test('targets that two hosts recorded for a request are merged', t => {
   const {suspects} = newSuspects();
-  suspects.broke('p', 'a');
+  suspects.recordBrokenRun('p', 'a');
   suspects.update(updateOf('p', ['a', 'b']));
   t.false(suspects.isBlocked('p'));
   suspects.update(updateOf('p', ['c']));
@@ -75,9 +81,9 @@
 /** Lists three targets and lets the same request break at each of them. */
 function brokenAtThree() {
   const parts = newSuspects();
-  parts.directory.listRead();
-  for (const id of TARGETS) parts.directory.put(targetOf(id));
-  for (const id of TARGETS) parts.suspects.broke('p', id);
+  parts.directory.recordListRead();
+  for (const id of TARGETS) parts.directory.put(newTarget(id));
+  for (const id of TARGETS) parts.suspects.recordBrokenRun('p', id);
   return parts;
 }
 
@@ -109,7 +115,7 @@
   const {suspects, directory, advanceWithReads, advance} = brokenAtThree();
   advance(EXPIRY_KNOWN_MS);
   t.true(suspects.isBlocked('p'));
-  directory.listRead();
+  directory.recordListRead();
   t.true(suspects.isBlocked('p'));
   advanceWithReads(EXPIRY_KNOWN_MS);
   t.false(suspects.isBlocked('p'));
@@ -133,12 +139,12 @@
   t.true(suspects.isItemBlocked('p'));
   advanceWithReads(EXPIRY_KNOWN_MS);
   t.false(suspects.isItemBlocked('p'));
-  suspects.startsItem('p');
+  suspects.recordItemStart('p');
   t.true(
     suspects.isItemBlocked('p'),
     'no second additional run beside the first',
   );
-  suspects.answered('p');
+  suspects.recordAnswer('p');
   t.false(suspects.isItemBlocked('p'));
 });
 
@@ -147,8 +153,8 @@
 test('an item that crashes a fourth target stays blocked', t => {
   const {suspects, advanceWithReads} = crashedThree();
   advanceWithReads(EXPIRY_KNOWN_MS);
-  suspects.startsItem('p');
-  suspects.broke('p', 'i-4');
+  suspects.recordItemStart('p');
+  suspects.recordBrokenRun('p', 'i-4');
   advanceWithReads(2 * EXPIRY_KNOWN_MS);
   t.true(suspects.isItemBlocked('p'));
 });
--- a/packages/gateway/src/test/process/load_telling_test.ts
+++ b/packages/gateway/src/test/process/load_reporter_test.ts
@@ -3,10 +3,10 @@
 import type {LoadMessage} from '../../lib/connection/load_message.js';
 import {LoadTable, type HostLoad} from '../../lib/process/load_table.js';
 import {
-  DEFAULT_LOAD_TELLING,
-  LoadTelling,
+  DEFAULT_LOAD_REPORT_OPTIONS,
+  LoadReporter,
   type LoadPeer,
-} from '../../lib/process/load_telling.js';
+} from '../../lib/process/load_reporter.js';
 
 const DATA_CENTRES = ['a', 'b', 'c'] as const;
 const HOSTS = 20;
@@ -25,12 +25,15 @@
   const table = new LoadTable(() => now);
   const self = {id: 'a-self', dataCentre: 'a'};
   const context = {self, table, now: () => now, random: seededRandom(1)};
-  const telling = new LoadTelling<LoadPeer>(context, DEFAULT_LOAD_TELLING);
+  const telling = new LoadReporter<LoadPeer>(
+    context,
+    DEFAULT_LOAD_REPORT_OPTIONS,
+  );
   const sums = (peers: readonly LoadPeer[], forMs: number) => {
     const until = now + forMs;
     const found = [];
-    for (; now < until; now += DEFAULT_LOAD_TELLING.periodMs) {
-      const due = telling.due(peers);
+    for (; now < until; now += DEFAULT_LOAD_REPORT_OPTIONS.periodMs) {
+      const due = telling.takeDueReports(peers);
       found.push(...due.filter(({message}) => message.sumOf > 0));
     }
     return found;
@@ -47,9 +50,9 @@
 
 test('in a large fleet one host of each other data centre gets a sum per round', t => {
   const {telling, sums} = newHost();
-  telling.due(MANY);
+  telling.takeDueReports(MANY);
   for (const {id: host, dataCentre} of hostsOf('a', 3))
-    telling.hear(reportOf({host, dataCentre}));
+    telling.receive(reportOf({host, dataCentre}));
   const told = sums(MANY, 2000);
   t.true(told.length > 0);
   for (const {message, peers} of told) {
@@ -65,7 +68,7 @@
 test('sums go to the hosts of a data centre in turn', t => {
   const {sums} = newHost();
   // Two rounds for each host, because timers are up to one period late.
-  const told = sums(MANY, 2 * HOSTS * DEFAULT_LOAD_TELLING.relayMs);
+  const told = sums(MANY, 2 * HOSTS * DEFAULT_LOAD_REPORT_OPTIONS.relayMs);
   const receivers = told.flatMap(({peers}) => peers.map(({id}) => id));
   t.true(new Set(receivers).size === 2 * HOSTS, `${new Set(receivers).size}`);
 });
@@ -85,25 +88,25 @@
 // reports its load to all, and another includes it in the sum that it reports.
 test('a load reported individually and in a sum counts once', t => {
   const large = newHost();
-  large.telling.due(MANY);
-  large.telling.hear(reportOf({host: 'b-1', sumOf: 3}));
-  large.telling.hear(reportOf({host: 'b-2'}));
-  t.deepEqual(large.table.at('t'), {online: 2, batch: 1});
+  large.telling.takeDueReports(MANY);
+  large.telling.receive(reportOf({host: 'b-1', sumOf: 3}));
+  large.telling.receive(reportOf({host: 'b-2'}));
+  t.deepEqual(large.table.totalAt('t'), {online: 2, batch: 1});
   const small = newHost();
-  small.telling.due(hostsOf('b', 2));
-  small.telling.hear(reportOf({host: 'b-2'}));
-  small.telling.hear(reportOf({host: 'b-1', sumOf: 3}));
-  t.deepEqual(small.table.at('t'), {online: 2, batch: 1});
+  small.telling.takeDueReports(hostsOf('b', 2));
+  small.telling.receive(reportOf({host: 'b-2'}));
+  small.telling.receive(reportOf({host: 'b-1', sumOf: 3}));
+  t.deepEqual(small.table.totalAt('t'), {online: 2, batch: 1});
 });
 
 // A burst goes to full targets: a host that has just started and knows one
 // neighbour reports the load of its data centre.
 test('a sum over few hosts does not replace one over many', t => {
   const {table, telling} = newHost();
-  telling.due(MANY);
-  telling.hear(reportOf({host: 'b-1', sumOf: 20}));
-  telling.hear(reportOf({host: 'b-2', sumOf: 2, load: new Map()}));
-  t.deepEqual(table.at('t'), {online: 2, batch: 1});
-  telling.hear(reportOf({host: 'b-3', sumOf: 19, load: new Map()}));
-  t.deepEqual(table.at('t'), {online: 0, batch: 0});
+  telling.takeDueReports(MANY);
+  telling.receive(reportOf({host: 'b-1', sumOf: 20}));
+  telling.receive(reportOf({host: 'b-2', sumOf: 2, load: new Map()}));
+  t.deepEqual(table.totalAt('t'), {online: 2, batch: 1});
+  telling.receive(reportOf({host: 'b-3', sumOf: 19, load: new Map()}));
+  t.deepEqual(table.totalAt('t'), {online: 0, batch: 0});
 });
--- a/packages/gateway/src/test/process/load_table_test.ts
+++ b/packages/gateway/src/test/process/load_table_test.ts
@@ -9,11 +9,11 @@
   const request = table.begin('t', 'online');
   table.begin('t', 'batch');
   table.applyReport('other', new Map([['t', {online: 2, batch: 1}]]));
-  t.deepEqual(table.at('t'), {online: 3, batch: 2});
+  t.deepEqual(table.totalAt('t'), {online: 3, batch: 2});
   request[Symbol.dispose]();
-  t.deepEqual(table.at('t'), {online: 2, batch: 2});
+  t.deepEqual(table.totalAt('t'), {online: 2, batch: 2});
   table.applyReport('other', new Map());
-  t.deepEqual(table.at('t'), {online: 0, batch: 1});
+  t.deepEqual(table.totalAt('t'), {online: 0, batch: 1});
 });
 
 // A target is avoided forever: a host dies with requests in flight, and nobody
@@ -24,7 +24,7 @@
   table.applyReport('other', new Map([['t', {online: 5, batch: 0}]]));
   now = LOAD_REPORT_LIFETIME_MS + 1;
   table.expire();
-  t.deepEqual(table.at('t'), {online: 0, batch: 0});
+  t.deepEqual(table.totalAt('t'), {online: 0, batch: 0});
 });
 
 // A target looks free while a request runs there, and later looks as if it ran
@@ -38,10 +38,10 @@
   const request = table.begin('t', 'online');
   now = 10;
   table.applyReport('holder', new Map());
-  t.is(table.at('t').online, 1);
+  t.is(table.totalAt('t').online, 1);
   now = 100;
   table.applyReport('holder', new Map());
-  t.deepEqual(table.at('t'), {online: 1, batch: 0});
+  t.deepEqual(table.totalAt('t'), {online: 1, batch: 0});
   request[Symbol.dispose]();
-  t.deepEqual(table.at('t'), {online: 0, batch: 0});
+  t.deepEqual(table.totalAt('t'), {online: 0, batch: 0});
 });
--- a/packages/gateway/src/test/process/placement_test.ts
+++ b/packages/gateway/src/test/process/placement_test.ts
@@ -3,7 +3,7 @@
 import test from 'ava';
 import type {PlacementMessage} from '../../lib/connection/placement_message.js';
 import {Coordinator} from '../../lib/process/coordinator.js';
-import {HomeTargets} from '../../lib/process/home_targets.js';
+import {PreferredTargets} from '../../lib/process/preferred_targets.js';
 import {LoadTable} from '../../lib/process/load_table.js';
 import {targetKey} from '../../lib/connection/load_message.js';
 import {Placement} from '../../lib/process/placement.js';
@@ -12,7 +12,7 @@
 import {TargetChooser} from '../../lib/process/target_chooser.js';
 import {TargetDirectory} from '../../lib/process/target_directory.js';
 import {TargetSuspensions} from '../../lib/process/target_suspensions.js';
-import {targetOf} from '../fakes/targets.js';
+import {newTarget} from '../fakes/targets.js';
 
 const DEMAND = {goalMs: 300, priority: 0, returning: false};
 const NONE: ReadonlySet<string> = new Set();
@@ -26,7 +26,7 @@
   const log = NO_EVENT_LOG;
   const random = seededRandom(1);
   const directory = new TargetDirectory({clock, log});
-  for (const target of TARGETS) directory.put(targetOf(target));
+  for (const target of TARGETS) directory.put(newTarget(target));
   const loads = new LoadTable(() => clock.now());
   const hosts = () => 30;
   const dataCentre = 'a';
@@ -38,7 +38,7 @@
     health: new ServiceHealth(clock),
     overload: new ServiceOverload({clock, random, directory, hosts}),
     loads,
-    homes: new HomeTargets({self: id, dataCentre, hosts}),
+    preferredTargets: new PreferredTargets({self: id, dataCentre, hosts}),
     random,
   });
   const sent: Array<readonly [PlacementMessage, string]> = [];
@@ -50,7 +50,7 @@
     counters: NO_COUNTERS,
     chooser,
     directory,
-    own: new Coordinator({
+    localCoordinator: new Coordinator({
       self: id,
       dataCentre,
       chooser,
@@ -61,7 +61,7 @@
     coordinatorOf: () => undefined,
     peer: peer => ({id: peer, dataCentre}),
     send: (message, to) => sent.push([message, to.id]),
-    onYield: (targetId, items) => yielded.push([targetId, items]),
+    onPreempt: (targetId, items) => yielded.push([targetId, items]),
   });
   const fill = (from: string, target: string, online: number, batch: number) =>
     loads.applyReport(from, new Map([[targetKey(target), {online, batch}]]));
@@ -86,10 +86,10 @@
   const places: Array<string | undefined> = [];
   for (let i = 0; i < 4; i++) {
     const place = requester.placement.forRequest('s', DEMAND, NONE);
-    coordinator.placement.hear(requester.sent.at(-1)![0]);
+    coordinator.placement.receive(requester.sent.at(-1)![0]);
     const [grant, to] = coordinator.sent.at(-1)!;
     t.is(to, 'asker');
-    requester.placement.hear(grant);
+    requester.placement.receive(grant);
     places.push((await place)?.id);
   }
   t.deepEqual([...places].sort(), ['t1', 't1', 't2', 't2']);
@@ -106,12 +106,12 @@
 // earlier than the host that asks it.
 test('a placement at a draining target is not used', async t => {
   const {requester, coordinator} = newPair();
-  requester.directory.put(targetOf('t1', {leaving: true}));
+  requester.directory.put(newTarget('t1', {leaving: true}));
   const place = requester.placement.forRequest('s', DEMAND, NONE);
-  coordinator.placement.hear(requester.sent.at(-1)![0]);
+  coordinator.placement.receive(requester.sent.at(-1)![0]);
   const [grant] = coordinator.sent.at(-1)!;
   t.deepEqual(grant, {kind: 'grant', askId: 1, targetId: 't1'});
-  requester.placement.hear(grant);
+  requester.placement.receive(grant);
   t.is((await place)?.id, 't2');
 });
 
@@ -120,10 +120,10 @@
 // it.
 test('a target that failed the requesting host is not selected', async t => {
   const {requester, coordinator} = newPair();
-  requester.suspensions.failed('t1', 'ECONNREFUSED');
+  requester.suspensions.recordFailure('t1', 'ECONNREFUSED');
   const place = requester.placement.forRequest('s', DEMAND, NONE);
-  coordinator.placement.hear(requester.sent.at(-1)![0]);
-  requester.placement.hear(coordinator.sent.at(-1)![0]);
+  coordinator.placement.receive(requester.sent.at(-1)![0]);
+  requester.placement.receive(coordinator.sent.at(-1)![0]);
   t.is((await place)?.id, 't2');
 });
 
@@ -138,7 +138,7 @@
 test('a target that failed two hosts is avoided for all hosts', t => {
   const {coordinator, clock} = newPair();
   const placedFor = (host: string, excluded: readonly string[]) => {
-    coordinator.placement.hear(askOf(host, excluded));
+    coordinator.placement.receive(askOf(host, excluded));
     const [grant] = coordinator.sent.at(-1)!;
     return grant.kind === 'grant' ? grant.targetId : undefined;
   };
@@ -151,7 +151,7 @@
   coordinator.fill('y', 't2', 30, 0);
   t.is(placedFor('h3', []), 't1', 'no other target has free slots');
   coordinator.fill('y', 't2', 6, 0);
-  clock.pass(1000);
+  clock.advance(1000);
   t.is(placedFor('h3', []), 't1');
 });
 
@@ -160,16 +160,16 @@
   const {requester, clock} = newPair();
   for (let i = 0; i < 5; i++) {
     const place = requester.placement.forRequest('s', DEMAND, NONE);
-    clock.pass(30);
+    clock.advance(30);
     t.is((await place)?.id, 't1');
   }
   t.is(requester.sent.length, 3);
-  clock.pass(2000);
+  clock.advance(2000);
   requester.fill('x', 't1', 5, 0);
   requester.fill('y', 't2', 6, 0);
   const place = requester.placement.forRequest('s', DEMAND, NONE);
   t.is(requester.sent.length, 4);
-  clock.pass(30);
+  clock.advance(30);
   await place;
 });
 
@@ -184,9 +184,9 @@
   }
   for (let i = 0; i < 2; i++) {
     const place = requester.placement.forRequest('s', DEMAND, NONE);
-    coordinator.placement.hear(requester.sent.at(-1)![0]);
+    coordinator.placement.receive(requester.sent.at(-1)![0]);
     const grants = coordinator.sent.filter(([{kind}]) => kind === 'grant');
-    requester.placement.hear(grants.at(-1)![0]);
+    requester.placement.receive(grants.at(-1)![0]);
     await place;
   }
   const yields = coordinator.sent.filter(([{kind}]) => kind === 'yield');
@@ -195,7 +195,7 @@
     [{kind: 'yield', targetId: 't1', items: 1}, 'x'],
   ]);
   const holder = newHost('x', new FakeClock());
-  holder.placement.hear(yields[0]![0]);
+  holder.placement.receive(yields[0]![0]);
   t.deepEqual(holder.yielded, [['t1', 1]]);
 });
 
@@ -205,14 +205,14 @@
   let now = 0;
   const loads = new LoadTable(() => now);
   loads.addPendingChange('x', 't', 'online', 1);
-  t.is(loads.at('t').online, 1);
+  t.is(loads.totalAt('t').online, 1);
   loads.applyReport('x', new Map());
-  t.is(loads.at('t').online, 1, 'the report is too early to include it');
+  t.is(loads.totalAt('t').online, 1, 'the report is too early to include it');
   now = 60;
   loads.applyReport('x', new Map([['t', {online: 1, batch: 0}]]));
-  t.is(loads.at('t').online, 1);
+  t.is(loads.totalAt('t').online, 1);
   loads.addPendingChange('gone', 't', 'online', 1);
   now = 1000;
   loads.expire();
-  t.is(loads.at('t').online, 1);
+  t.is(loads.totalAt('t').online, 1);
 });
--- a/packages/gateway/src/test/process/home_targets_test.ts
+++ b/packages/gateway/src/test/process/preferred_targets_test.ts
@@ -1,13 +1,13 @@
 import test from 'ava';
 import type {Target} from '../../lib/connection/target.js';
-import {HomeTargets} from '../../lib/process/home_targets.js';
-import {targetOf} from '../fakes/targets.js';
+import {PreferredTargets} from '../../lib/process/preferred_targets.js';
+import {newTarget} from '../fakes/targets.js';
 
 const DATA_CENTRES = ['a', 'b', 'c', 'd'];
 
 function targetsOf(count: number): readonly Target[] {
   return [...Array(count).keys()].map(i =>
-    targetOf(`target ${i}`, {
+    newTarget(`target ${i}`, {
       dataCentre: DATA_CENTRES[i % DATA_CENTRES.length]!,
     }),
   );
@@ -18,7 +18,7 @@
   targets: readonly Target[],
 ): ReadonlyArray<readonly Target[]> {
   return [...Array(hosts).keys()].map(i =>
-    new HomeTargets({
+    new PreferredTargets({
       self: `host ${i}`,
       dataCentre: DATA_CENTRES[i % DATA_CENTRES.length]!,
       hosts: () => hosts,
@@ -59,7 +59,7 @@
 test('a change in the number of hosts changes the preferred targets', t => {
   let hosts = 30;
   const context = {self: 'h', dataCentre: 'a', hosts: () => hosts};
-  const selection = new HomeTargets(context);
+  const selection = new PreferredTargets(context);
   const targets = targetsOf(29);
   t.is(selection.select(targets).length, 8);
   hosts = 20;
--- a/packages/gateway/src/test/process/target_chooser_test.ts
+++ b/packages/gateway/src/test/process/target_chooser_test.ts
@@ -4,19 +4,19 @@
 import type {Target} from '../../lib/connection/target.js';
 import {ServiceHealth} from '../../lib/process/service_health.js';
 import {ServiceOverload} from '../../lib/process/service_overload.js';
-import {HomeTargets} from '../../lib/process/home_targets.js';
+import {PreferredTargets} from '../../lib/process/preferred_targets.js';
 import {LoadTable} from '../../lib/process/load_table.js';
 import {TargetChooser} from '../../lib/process/target_chooser.js';
 import {TargetDirectory} from '../../lib/process/target_directory.js';
 import {TargetSuspensions} from '../../lib/process/target_suspensions.js';
-import {targetOf} from '../fakes/targets.js';
+import {newTarget} from '../fakes/targets.js';
 
 const NONE: ReadonlySet<string> = new Set();
 const URGENT = {goalMs: 300, priority: 0, returning: false};
 const LESS_URGENT = {...URGENT, priority: 2};
 
 function target(id: string, dataCentre = 'a', leaving = false): Target {
-  return targetOf(id, {dataCentre, leaving});
+  return newTarget(id, {dataCentre, leaving});
 }
 
 function newFleet(...targets: readonly Target[]) {
@@ -36,7 +36,7 @@
     health,
     overload: new ServiceOverload({...context, random, directory, hosts}),
     loads,
-    homes: new HomeTargets({self: 'h', dataCentre, hosts}),
+    preferredTargets: new PreferredTargets({self: 'h', dataCentre, hosts}),
     random,
   });
   const load = (id: string, online: number, batch: number) =>
@@ -64,7 +64,7 @@
     target('well'),
     target('suspended'),
   );
-  suspensions.failed('suspended', 'reset');
+  suspensions.recordFailure('suspended', 'reset');
   const tried = new Set(['tried', 'well']);
   t.is(chooser.forRequest('s', URGENT, new Set(['tried']))?.id, 'well');
   t.is(chooser.forRequest('s', URGENT, tried)?.id, 'suspended');
@@ -100,7 +100,7 @@
       const load = {online: host === 'h3' ? 4 : 0, batch};
       loads.applyReport(host, new Map([[key, load]]));
     }
-    return chooser.itemsToYield(target(id), self);
+    return chooser.itemsToPreempt(target(id), self);
   });
 }
 
@@ -141,7 +141,7 @@
     for (const host of hosts)
       if (host !== self)
         loads.applyReport(host, new Map([[key, loadOf(host)]]));
-    return chooser.itemsToYield(target('only'), self);
+    return chooser.itemsToPreempt(target('only'), self);
   });
   t.deepEqual(preemptions, [0, 2]);
 });
@@ -155,7 +155,7 @@
   loads.markNearlyDone(key, 2);
   items[0]![Symbol.dispose]();
   load('only', 20, 0);
-  t.is(chooser.itemsToYield(target('only'), 'h'), 1);
+  t.is(chooser.itemsToPreempt(target('only'), 'h'), 1);
 });
 
 test('a target is full for less urgent requests first', t => {
--- a/packages/gateway/src/test/process/target_directory_test.ts
+++ b/packages/gateway/src/test/process/target_directory_test.ts
@@ -2,9 +2,9 @@
 import {NO_EVENT_LOG, SYSTEM_CLOCK} from '@oathead/core';
 import test from 'ava';
 import {TargetDirectory} from '../../lib/process/target_directory.js';
-import {runOf, targetOf} from '../fakes/targets.js';
+import {newIncarnation, newTarget} from '../fakes/targets.js';
 
-const TARGET = targetOf('t');
+const TARGET = newTarget('t');
 
 function directory() {
   return new TargetDirectory({clock: SYSTEM_CLOCK, log: NO_EVENT_LOG});
@@ -40,9 +40,9 @@
 test('a restarted server is another target', t => {
   const targets = directory();
   const gone: string[] = [];
-  targets.onGone(id => gone.push(id));
-  const before = runOf('i-1', 1000, {address: '1.2.3.4:5'});
-  const now = runOf('i-1', 2000, {address: '1.2.3.9:5'});
+  targets.onRemoved(id => gone.push(id));
+  const before = newIncarnation('i-1', 1000, {address: '1.2.3.4:5'});
+  const now = newIncarnation('i-1', 2000, {address: '1.2.3.9:5'});
   targets.put(before);
   targets.put(now);
   t.deepEqual(gone, [before.id]);
@@ -54,12 +54,12 @@
 // after the entry of the live one.
 test('a late entry of an earlier incarnation is ignored', t => {
   const targets = directory();
-  const now = runOf('i-1', 2000);
+  const now = newIncarnation('i-1', 2000);
   targets.put(now);
-  targets.put(runOf('i-1', 1000, {leaving: true}));
+  targets.put(newIncarnation('i-1', 1000, {leaving: true}));
   t.deepEqual(targets.ofService('s'), [now]);
   targets.remove('i-1', 0);
-  targets.put(runOf('i-1', 1000));
+  targets.put(newIncarnation('i-1', 1000));
   t.deepEqual(targets.ofService('s'), []);
   targets.put(now);
   t.deepEqual(targets.ofService('s'), [now]);
@@ -70,9 +70,9 @@
 // removed at once.
 test('a server that restarts while its expired entry is kept is a new target', async t => {
   const targets = directory();
-  targets.put(runOf('i-1', 1000));
+  targets.put(newIncarnation('i-1', 1000));
   targets.remove('i-1', 30);
-  const now = runOf('i-1', 2000);
+  const now = newIncarnation('i-1', 2000);
   targets.put(now);
   await setTimeout(60);
   t.deepEqual(targets.ofService('s'), [now]);
@@ -82,8 +82,8 @@
 // and provides another service.
 test('a server that restarts with another service leaves the first one', t => {
   const targets = directory();
-  targets.put(runOf('i-1', 1000));
-  targets.put(runOf('i-1', 2000, {service: 'other'}));
+  targets.put(newIncarnation('i-1', 1000));
+  targets.put(newIncarnation('i-1', 2000, {service: 'other'}));
   t.deepEqual(targets.ofService('s'), []);
   t.is(targets.ofService('other').length, 1);
 });
--- a/packages/gateway/src/test/process/wide_burst_replay_test.ts
+++ b/packages/gateway/src/test/process/wide_burst_replay_test.ts
@@ -1,16 +1,16 @@
 import test from 'ava';
-import {DEFAULT_LOAD_TELLING} from '../../lib/process/load_telling.js';
+import {DEFAULT_LOAD_REPORT_OPTIONS} from '../../lib/process/load_reporter.js';
 import {
-  WideFleet,
-  type WideLoad,
-  type WideOptions,
-} from '../fakes/wide_fleet.js';
+  FleetSimulator,
+  type FleetScenario,
+  type FleetOptions,
+} from '../fakes/fleet_simulator.js';
 
 /**
  * Six data centres. The burst takes nine of ten slots, after a period of low
  * load in which batch items have filled them.
  */
-const BURST: WideLoad = {
+const BURST: FleetScenario = {
   seed: 1,
   dataCentres: 6,
   hosts: 15,
@@ -22,7 +22,7 @@
   items: 4,
   pressure: 'relaxed',
   goalMs: 300,
-  patienceMs: 5000,
+  callerTimeoutMs: 5000,
   calmRate: 165,
   burstRate: 760,
   burstAtMs: 2500,
@@ -32,8 +32,8 @@
  * Each host reports its own load to every other host, as often as the datagram
  * limit allows.
  */
-const DIRECT: WideOptions = {
-  ...DEFAULT_LOAD_TELLING,
+const DIRECT: FleetOptions = {
+  ...DEFAULT_LOAD_REPORT_OPTIONS,
   directFarMs: Infinity,
   coordinated: false,
 };
@@ -41,8 +41,11 @@
  * Data centres report sums to each other; each host selects targets by its own
  * view.
  */
-const SUMS: WideOptions = {...DEFAULT_LOAD_TELLING, coordinated: false};
-const COORDINATED: WideOptions = {...DEFAULT_LOAD_TELLING, coordinated: true};
+const SUMS: FleetOptions = {...DEFAULT_LOAD_REPORT_OPTIONS, coordinated: false};
+const COORDINATED: FleetOptions = {
+  ...DEFAULT_LOAD_REPORT_OPTIONS,
+  coordinated: true,
+};
 
 /**
  * Value of a request that is answered in time on a retry, and of one that is
@@ -56,8 +59,8 @@
  */
 const MIN_GAIN = 0.2;
 
-async function play(load: WideLoad, options: WideOptions) {
-  const outcome = await new WideFleet(load, options).play();
+async function play(load: FleetScenario, options: FleetOptions) {
+  const outcome = await new FleetSimulator(load, options).run();
   const {requests, inTime, inTimeOnReturn, late} = outcome;
   const worth =
     (inTime + RETRY_VALUE * inTimeOnReturn + LATE_VALUE * late) / requests;
@@ -83,7 +86,7 @@
 });
 
 /** Four data centres, the first of which gets twice as many callers. */
-const CROWDED: WideLoad = {
+const CROWDED: FleetScenario = {
   ...BURST,
   dataCentres: 4,
   hosts: 7,
@@ -92,10 +95,10 @@
   runMs: 650,
   calmRate: 55,
   burstRate: 264,
-  crowding: 2,
+  firstDataCentreWeight: 2,
 };
 
-async function lateInThreeSeeds(options: WideOptions): Promise<number> {
+async function lateInThreeSeeds(options: FleetOptions): Promise<number> {
   let late = 0;
   for (const seed of [1, 2, 3])
     late += (await play({...CROWDED, seed}, options)).late;
@@ -107,7 +110,10 @@
 // and knows what the others have sent only as of a fifth of a second ago.
 test('data centres that ask each other do not fill the same remote targets', async t => {
   const alone = await lateInThreeSeeds(COORDINATED);
-  const asked = await lateInThreeSeeds({...COORDINATED, asksOthers: true});
+  const asked = await lateInThreeSeeds({
+    ...COORDINATED,
+    asksRemoteCoordinators: true,
+  });
   t.log(`late requests: ${alone} without asking, ${asked} with asking`);
   t.true(asked < alone / 2);
 });
@@ -117,7 +123,7 @@
 // view at once.
 test('a burst is served when the coordinators fail', async t => {
   const inSums = await play(BURST, SUMS);
-  const lost = await play(BURST, {...COORDINATED, coordinatorsLostAtMs: 3500});
+  const lost = await play(BURST, {...COORDINATED, coordinatorsFailAtMs: 3500});
   t.log(JSON.stringify(lost));
   t.true(lost.worth > inSums.worth - 0.05);
   t.is(lost.unplaced, 0);
--- a/packages/gateway/src/test/request/exchange_test.ts
+++ b/packages/gateway/src/test/request/exchange_test.ts
@@ -4,7 +4,7 @@
 import {
   Exchange,
   mayHaveCrashed,
-  type ExchangeEnd,
+  type ExchangeOutcome,
 } from '../../lib/request/exchange.js';
 import type {StreamEvent} from '../../lib/request/stream_events.js';
 import {NO_COUNTERS} from '@oathead/core';
@@ -19,7 +19,7 @@
   readonly name: string;
   readonly bytes: string;
   readonly then?: 'end' | 'reset';
-  readonly expected: ExchangeEnd['kind'];
+  readonly expected: ExchangeOutcome['kind'];
 }
 
 /**
--- a/packages/gateway/src/test/request/parsers_fuzz_test.ts
+++ b/packages/gateway/src/test/request/parsers_fuzz_test.ts
@@ -5,7 +5,7 @@
   decodePlacement,
   encodePlacement,
   PLACEMENT_FORMAT,
-  type PlaceWish,
+  type PlacementCriteria,
   type PlacementMessage,
 } from '../../lib/connection/placement_message.js';
 import {EventSplitter} from '../../lib/request/stream_events.js';
@@ -61,7 +61,7 @@
     lane: fc.constant('batch' as const),
     pressure: fc.constantFrom('relaxed' as const, 'pressed' as const),
   }),
-) satisfies fc.Arbitrary<PlaceWish>;
+) satisfies fc.Arbitrary<PlacementCriteria>;
 const PLACEMENT = fc.oneof(
   fc.record({
     kind: fc.constant('ask' as const),
--- a/packages/gateway/src/test/request/stream_events_test.ts
+++ b/packages/gateway/src/test/request/stream_events_test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import fc from 'fast-check';
-import {dataOf, EventSplitter} from '../../lib/request/stream_events.js';
+import {eventData, EventSplitter} from '../../lib/request/stream_events.js';
 
 test('events come out complete for any split of the stream into chunks', t => {
   const text = fc.stringMatching(/^[a-z0-9 :]{0,12}$/);
@@ -16,7 +16,7 @@
         const events = splitAt(Buffer.from(stream), cuts).flatMap(chunk =>
           splitter.push(chunk),
         );
-        t.deepEqual(events.map(dataOf), texts);
+        t.deepEqual(events.map(eventData), texts);
         t.deepEqual(
           events.map(({id}) => id),
           [...texts.keys()].map(i => i + 1),
--- a/packages/gateway/src/test/request/target_send_test.ts
+++ b/packages/gateway/src/test/request/target_send_test.ts
@@ -16,7 +16,7 @@
 import {TargetSuspensions} from '../../lib/process/target_suspensions.js';
 import {sendToTarget} from '../../lib/request/target_send.js';
 import {listen, PROTOCOL} from '../fakes/raw_target.js';
-import {runOf, targetOf} from '../fakes/targets.js';
+import {newIncarnation, newTarget} from '../fakes/targets.js';
 
 const SINK = {events: () => true, paused: () => {}};
 const COMPLETE_RESPONSE =
@@ -32,7 +32,7 @@
 const SILENCE_WAIT_MS = 1300;
 
 function targetAt(address: string): Target {
-  return targetOf('t', {address});
+  return newTarget('t', {address});
 }
 
 function newContext() {
@@ -81,11 +81,11 @@
   await setTimeout(100);
   const {end} = sendToTarget(context, target, 'online', requestTo('/a'), SINK);
   t.is((await end).kind, 'answered');
-  t.is(context.health.share(target), 1);
+  t.is(context.health.trafficShare(target), 1);
   await setTimeout(SILENCE_WAIT_MS);
   context.health.tick();
-  t.true(context.health.share(target) < 1);
-  t.false(context.suspensions.has(target.id));
+  t.true(context.health.trafficShare(target) < 1);
+  t.false(context.suspensions.isSuspended(target.id));
   unanswered.control.end('timeout');
   t.is((await unanswered.end).kind, 'ended');
 });
@@ -106,7 +106,7 @@
   t.is((await end).kind, 'answered');
   await setTimeout(SILENCE_WAIT_MS);
   context.health.tick();
-  t.is(context.health.share(target), 1);
+  t.is(context.health.trafficShare(target), 1);
   for (const {control} of waiting) control.end('timeout');
   await Promise.all(waiting.map(one => one.end));
 });
@@ -157,12 +157,12 @@
 test('a request ends when the target server is restarted', async t => {
   await using raw = await listenUnresponsive();
   const context = newContext();
-  const before = runOf('i-1', 1000, {address: raw.address});
+  const before = newIncarnation('i-1', 1000, {address: raw.address});
   context.directory.put(before);
   const {end} = sendToTarget(context, before, 'online', requestTo('/1'), SINK);
-  context.directory.put(runOf('i-1', 2000, {address: raw.address}));
+  context.directory.put(newIncarnation('i-1', 2000, {address: raw.address}));
   t.deepEqual(await end, {kind: 'ended', by: 'restarted'});
-  t.is(context.loads.at(targetKey(before.id)).online, 0);
+  t.is(context.loads.totalAt(targetKey(before.id)).online, 0);
 });
 
 // Guards against the loss of a valid response: the list of targets repeats the
@@ -173,10 +173,10 @@
     void setTimeout(100).then(() => socket.write(COMPLETE_RESPONSE));
   });
   const context = newContext();
-  const now = runOf('i-1', 2000, {address: raw.address});
+  const now = newIncarnation('i-1', 2000, {address: raw.address});
   context.directory.put(now);
   const {end} = sendToTarget(context, now, 'online', requestTo('/1'), SINK);
   context.directory.put({...now, leaving: true});
-  context.directory.put(runOf('i-1', 1000, {address: raw.address}));
+  context.directory.put(newIncarnation('i-1', 1000, {address: raw.address}));
   t.is((await end).kind, 'answered');
 });
--- a/packages/jobs/src/lib/process/batch_scheduler.ts
+++ b/packages/jobs/src/lib/process/batch_scheduler.ts
@@ -227,7 +227,7 @@
     // While the placement was pending, the item may have failed, or its job may
     // have been cancelled or handed over.
     if (work.stage !== stage || job.closed || this.paused) return;
-    crashes.startsItem(work.fingerprint);
+    crashes.recordItemStart(work.fingerprint);
     runItem(this.context, job, work, route, target, () =>
       this.durations.add(job.head, work),
     );
@@ -306,7 +306,7 @@
         candidate => candidate.estimate.nearlyDone,
       );
       loads.markNearlyDone(targetKey(targetId), nearlyDone.length);
-      const excess = chooser.itemsToYield(target, self);
+      const excess = chooser.itemsToPreempt(target, self);
       if (excess > 0) this.preemptLeastUrgent(candidates, excess);
     }
   }
--- a/packages/jobs/src/lib/process/item_runner.ts
+++ b/packages/jobs/src/lib/process/item_runner.ts
@@ -1,14 +1,14 @@
 /** Runs one item once on one target and applies the outcome to the item. */
 import type {Tracer} from '@opentelemetry/api';
 import {
-  dataOf,
+  eventData,
   mayHaveCrashed,
   RequestTrace,
   sendToTarget,
-  type AnswerHead,
+  type ResponseHead,
   type CrashSuspects,
   type EventSink,
-  type ExchangeEnd,
+  type ExchangeOutcome,
   type Route,
   type SendContext,
   type SenderAccount,
@@ -76,7 +76,7 @@
     job: job.head.id,
     item: item.id,
   });
-  const hop = trace.toTarget(target.serverId, work.runs);
+  const hop = trace.startTargetSpan(target.serverId, work.runs);
   const req = {
     requestId: item.id,
     method: 'POST',
@@ -113,9 +113,9 @@
     trace.end(end.kind === 'streamed' ? undefined : end.kind);
     if (end.kind === 'streamed') onDone();
     if (sink.received || end.kind === 'answered')
-      context.crashes.answered(work.fingerprint);
+      context.crashes.recordAnswer(work.fingerprint);
     else if (mayHaveCrashed(end))
-      context.crashes.broke(work.fingerprint, target.id);
+      context.crashes.recordBrokenRun(work.fingerprint, target.id);
     handleRunEnd(context, job, work, end, target);
   });
 }
@@ -133,11 +133,11 @@
 
   constructor(private readonly work: ItemWork) {}
 
-  events(events: readonly StreamEvent[], head: AnswerHead): boolean {
+  events(events: readonly StreamEvent[], head: ResponseHead): boolean {
     if (head.status !== STATUS_OK) return true;
     this.received = true;
     for (const event of events) {
-      this.work.texts.push(dataOf(event));
+      this.work.texts.push(eventData(event));
       this.work.lastEventId = event.id ?? this.work.lastEventId;
     }
     return true;
@@ -150,7 +150,7 @@
   context: ItemRunContext,
   job: OwnedJob,
   work: ItemWork,
-  end: ExchangeEnd,
+  end: ExchangeOutcome,
   target: Target,
 ): void {
   const now = context.clock.now();
@@ -192,7 +192,7 @@
     };
 }
 
-function endReasonOf(end: ExchangeEnd): string | undefined {
+function endReasonOf(end: ExchangeOutcome): string | undefined {
   if (end.kind === 'ended') return end.by;
   if (end.kind === 'answered') return String(end.head.status);
   return 'reason' in end ? end.reason : undefined;
--- a/packages/jobs/src/lib/process/job_ownership.ts
+++ b/packages/jobs/src/lib/process/job_ownership.ts
@@ -174,7 +174,7 @@
 
   private async sweep(): Promise<void> {
     const {membership} = this.context;
-    if (!membership.known) return;
+    if (!membership.isInitialized) return;
     const live = membership.live().map(({id}) => id);
     for (const found of [...this.heads.values()]) {
       const {id, owner} = found.head;
--- a/packages/serving/src/lib/process/serving_components.ts
+++ b/packages/serving/src/lib/process/serving_components.ts
@@ -7,19 +7,19 @@
 } from '@oathead/core';
 import {
   CallerAdmission,
-  CallerPatience,
+  CallerRetryDetector,
   ConnectionPool,
   Coordinator,
   CrashSuspects,
-  HomeTargets,
+  PreferredTargets,
   HostSocket,
   LoadExchange,
   LoadTable,
   MEMBER_TABLE,
   memberId,
   Membership,
-  placementOver,
-  quotasOver,
+  createPlacement,
+  createAccountQuotas,
   RoutingState,
   ServiceHealth,
   ServiceOverload,
@@ -27,7 +27,7 @@
   TargetDirectory,
   TargetSuspensions,
   type AccountQuotas,
-  type CountingHost,
+  type QuotaHost,
   type HostPeer,
   type Member,
   type OnlineContext,
@@ -120,10 +120,10 @@
     clock,
     log,
     directory,
-    lapseMs: () => platform.tunables().targetExpiryMs,
+    expiryMs: () => platform.tunables().targetExpiryMs,
   });
   const hosts = () => membership.live().length;
-  const homes = new HomeTargets({
+  const homes = new PreferredTargets({
     self: self.id,
     dataCentre: identity.dataCentre,
     hosts,
@@ -133,10 +133,10 @@
     {platform, context, disposables},
     {directory, loads, homes, overload, crashes},
   );
-  const placement = placementOver(socket, {
+  const placement = createPlacement(socket, {
     ...sending,
     self,
-    own: new Coordinator({
+    localCoordinator: new Coordinator({
       ...sending,
       self: self.id,
       dataCentre: self.dataCentre,
@@ -154,7 +154,7 @@
       const member = membership.peer(id);
       return member && hostPeerOf(member);
     },
-    onYield: (targetId, items) => scheduler.preemptItems(targetId, items),
+    onPreempt: (targetId, items) => scheduler.preemptItems(targetId, items),
   });
   const freshness = new FreshnessLease({
     readClocks: () => readClocks(clock),
@@ -162,13 +162,15 @@
     leaseMs: () => platform.tunables().keyLeaseMs,
   });
   const quotas = disposables.add(
-    quotasOver(socket, {
+    createAccountQuotas(socket, {
       ...context,
       self: countingHostOf(self),
       hosts: () =>
-        membership.known ? membership.live().map(countingHostOf) : undefined,
+        membership.isInitialized
+          ? membership.live().map(countingHostOf)
+          : undefined,
       tolerance: () => platform.tunables().quotaTolerance,
-      quotaOf: name => routing.current?.table.accounts?.named(name)?.quota,
+      quotaOf: name => routing.current?.table.accounts?.findByName(name)?.quota,
     }),
   );
   const {counters} = context;
@@ -225,7 +227,7 @@
 interface TargetState {
   readonly directory: TargetDirectory;
   readonly loads: LoadTable;
-  readonly homes: HomeTargets;
+  readonly homes: PreferredTargets;
   readonly overload: ServiceOverload;
   readonly crashes: CrashSuspects;
 }
@@ -245,15 +247,28 @@
   const health = new ServiceHealth(clock);
   const pool = disposables.add(new ConnectionPool(counters));
   disposables.add(repeat(clock, HEALTH_DECAY_INTERVAL_MS, () => health.tick()));
-  directory.onGone(id => {
-    suspensions.forget(id);
-    health.forget(id);
-    pool.forget(id);
+  directory.onRemoved(id => {
+    suspensions.remove(id);
+    health.remove(id);
+    pool.closeIdle(id);
   });
   const known = {directory, suspensions, health, overload, loads};
-  const chooser = new TargetChooser({dataCentre, ...known, homes, random});
-  const patience = new CallerPatience();
-  return {...context, protocol, pool, ...known, chooser, crashes, patience};
+  const chooser = new TargetChooser({
+    dataCentre,
+    ...known,
+    preferredTargets: homes,
+    random,
+  });
+  const patience = new CallerRetryDetector();
+  return {
+    ...context,
+    protocol,
+    pool,
+    ...known,
+    chooser,
+    crashes,
+    retryDetector: patience,
+  };
 }
 
 function createJobOperations(
@@ -296,7 +311,7 @@
   };
 }
 
-function countingHostOf({id, host, ip, loadPort}: Member): CountingHost {
+function countingHostOf({id, host, ip, loadPort}: Member): QuotaHost {
   return {id, host, ip, port: loadPort};
 }
 
--- a/packages/serving/src/lib/process/serving_platform.ts
+++ b/packages/serving/src/lib/process/serving_platform.ts
@@ -8,7 +8,7 @@
   Random,
 } from '@oathead/core';
 import type {
-  BatchFront,
+  BatchApi,
   RoutingTable,
   Target,
   TargetProtocol,
@@ -101,7 +101,7 @@
    * @param calls - Operations on batch jobs.
    * @returns The interface.
    */
-  batchFront(calls: JobOperations): BatchFront;
+  batchFront(calls: JobOperations): BatchApi;
 }
 
 /** Dependencies that all components of the process use. */
--- a/packages/serving/src/lib/process/serving_process.ts
+++ b/packages/serving/src/lib/process/serving_process.ts
@@ -6,7 +6,7 @@
 import {
   FrontServer,
   Lifecycle,
-  ReadyServer,
+  ReadinessServer,
   type LifecycleState,
 } from '@oathead/gateway';
 import {servePeers} from '../connection/peer_router.js';
@@ -40,7 +40,7 @@
   private readonly components: ServingComponents;
   private readonly feeds: TableFeeds;
   private readonly front: FrontServer;
-  private readonly readiness: ReadyServer;
+  private readonly readiness: ReadinessServer;
   private readonly lifecycle: Lifecycle;
   private stopping: Promise<void> | undefined;
 
@@ -73,9 +73,9 @@
       log: context.log,
       draining: () => this.lifecycle.state === 'draining',
     });
-    this.readiness = new ReadyServer(
+    this.readiness = new ReadinessServer(
       platform.readyPath,
-      () => this.lifecycle.state === 'ready' && online.admission.isOpen,
+      () => this.lifecycle.state === 'ready' && online.admission.canAdmitByKey,
     );
   }
 
--- a/packages/serving/src/lib/process/table_feeds.ts
+++ b/packages/serving/src/lib/process/table_feeds.ts
@@ -217,7 +217,7 @@
 
   private updateTargets({put, removed}: TableUpdate): void {
     const {directory} = this.consumers;
-    const graceMs = directory.listRead() ? EXPIRED_TARGET_GRACE_MS : 0;
+    const graceMs = directory.recordListRead() ? EXPIRED_TARGET_GRACE_MS : 0;
     for (const {key} of removed) directory.remove(key, graceMs);
     for (const row of put) {
       const target = this.platform.targets.decode(row);
--- a/packages/stores/src/lib/process/table_watch.ts
+++ b/packages/stores/src/lib/process/table_watch.ts
@@ -13,7 +13,7 @@
   type Counters,
   type EventLog,
   type FreshnessLease,
-  type FreshnessQuestion,
+  type LeaseRenewal,
 } from '@oathead/core';
 import type {
   RowChange,
@@ -138,7 +138,7 @@
 
   private async readChanges(): Promise<boolean> {
     const {table, waitMs} = this.options;
-    const question = this.context.freshness?.ask();
+    const question = this.context.freshness?.startRenewal();
     const answer = await this.context.store.changes(
       table,
       this.version,
@@ -156,11 +156,8 @@
     return true;
   }
 
-  private prove(
-    question: FreshnessQuestion | undefined,
-    version: number,
-  ): void {
-    if (!question || this.context.freshness!.prove(question, version)) return;
+  private prove(question: LeaseRenewal | undefined, version: number): void {
+    if (!question || this.context.freshness!.renew(question, version)) return;
     const {table} = this.options;
     this.context.counters.count('table_answers_out_of_date', {table});
   }
@@ -193,7 +190,7 @@
     const found = new Map<string, VersionedRow>();
     let version = Infinity;
     let storeTimeMs = 0;
-    const question = this.context.freshness?.ask();
+    const question = this.context.freshness?.startRenewal();
     for (const partition of this.options.partitions) {
       let from: string | undefined;
       do {
--- a/packages/target/src/lib/request/run_followers.ts
+++ b/packages/target/src/lib/request/run_followers.ts
@@ -1,5 +1,5 @@
 /** Those who follow runs, and what happens when they leave. */
-import {LinkLostError, isFinal} from '@oathead/core';
+import {LinkLostError, isFinalEvent} from '@oathead/core';
 import type {Clock, ServeEvent, ServeOutcome} from '@oathead/core';
 import {followRun} from './follow_run.js';
 import type {RunPosition} from './follow_run.js';
@@ -76,7 +76,7 @@
     else signal.addEventListener('abort', leave, {once: true});
     const from = {startedSeen: true, tokensSeen: 0, stream: false};
     for await (const event of this.follow(run, from, asking.signal)) {
-      if (isFinal(event)) return event;
+      if (isFinalEvent(event)) return event;
     }
     return undefined;
   }
--- a/packages/target/src/lib/request/target_run.ts
+++ b/packages/target/src/lib/request/target_run.ts
@@ -2,11 +2,11 @@
 import {
   initialTargetRequest,
   invariant,
-  isUnseen,
+  isUnseenByEngine,
   stepTargetRequest,
 } from '@oathead/core';
 import type {
-  Partial,
+  PartialAnswer,
   ServeOutcome,
   ServeRequest,
   TargetRequestEvent,
@@ -156,7 +156,7 @@
     invariant(
       outcome.kind !== 'refused' ||
         outcome.refusal.ran !== 'not-run' ||
-        isUnseen(this.state),
+        isUnseenByEngine(this.state),
       `${this.key} was started and can't be refused as not run`,
     );
     this.ended = outcome;
@@ -166,7 +166,7 @@
   }
 
   /** What was generated so far. */
-  partial(): Partial {
+  partial(): PartialAnswer {
     return {text: this.textFrom(0), tokens: this.tokenCount};
   }
 
--- a/packages/wire/src/lib/connection/serve_call.ts
+++ b/packages/wire/src/lib/connection/serve_call.ts
@@ -1,5 +1,5 @@
 /** A request in flight on a link. */
-import {LinkLostError, isFinal} from '@oathead/core';
+import {LinkLostError, isFinalEvent} from '@oathead/core';
 import type {Clock, ServeEvent, ServeRequest} from '@oathead/core';
 import {EventQueue} from './event_queue.js';
 import type {LinkCall} from './link_call.js';
@@ -103,7 +103,7 @@
     if (event.kind === 'started') this.startedSeen = true;
     if (event.kind === 'tokens') this.tokensSeen = event.index + event.count;
     this.queue.push(event);
-    if (!isFinal(event)) return;
+    if (!isFinalEvent(event)) return;
     this.over = true;
     this.queue.end();
   }
--- a/packages/wire/src/lib/request/refusal_schema.ts
+++ b/packages/wire/src/lib/request/refusal_schema.ts
@@ -1,6 +1,11 @@
 /** Schema of refusals. */
 import {REFUSAL_STATUS} from '@oathead/core';
-import type {PlainRefusalKind, Problem, Ran, Refusal} from '@oathead/core';
+import type {
+  PlainRefusalKind,
+  Problem,
+  RunStatus,
+  Refusal,
+} from '@oathead/core';
 import {z} from 'zod';
 import {schemaOf} from './schema_of.js';
 
@@ -11,7 +16,7 @@
   }),
 );
 
-const RAN_SCHEMA = schemaOf<Ran>()(z.enum(['not-run', 'may-have-run']));
+const RAN_SCHEMA = schemaOf<RunStatus>()(z.enum(['not-run', 'may-have-run']));
 
 const COMMON = {
   message: z.string(),
--- a/packages/wire/src/lib/request/serve_schema.ts
+++ b/packages/wire/src/lib/request/serve_schema.ts
@@ -1,6 +1,6 @@
 /** Schemas of one request between an entry and a target process. */
 import type {
-  Partial,
+  PartialAnswer,
   ServeClass,
   ServeEvent,
   ServeRequest,
@@ -12,7 +12,7 @@
 
 const SERVE_CLASS_SCHEMA = schemaOf<ServeClass>()(z.enum(['online', 'batch']));
 
-const PARTIAL_SCHEMA = schemaOf<Partial>()(
+const PARTIAL_SCHEMA = schemaOf<PartialAnswer>()(
   z.object({
     text: z.string(),
     tokens: z.int().nonnegative(),
