--- a/packages/core/src/lib/process/alone_queue.ts
+++ b/packages/core/src/lib/process/alone_queue.ts
@@ -1,66 +1,82 @@
 /**
- * When online requests would have their first token without batch work. An
- * engine prefills prompts one after the other, so a delay passes on to those
- * that come behind: this queue follows the prompts as if there were no delay.
+ * Estimates when online requests would get their first token without batch
+ * work (the baseline). An engine prefills prompts one after the other, so a
+ * delay propagates to the prompts queued behind. This queue simulates the
+ * prompts as if batch work caused no delay.
  */
 
-/** What an online request needs of an engine that has no batch work. */
-export interface AloneNeed {
-  /** Time to prefill its prompt, in milliseconds. */
+/** What an online request costs an engine that runs no batch work. */
+export interface BaselineDemand {
+  /** Time to prefill the prompt, in milliseconds. */
   readonly prefillMs: number;
-  /** Prefill that an engine does in one step at most, in milliseconds. */
+  /** Maximum prefill time within one engine step, in milliseconds. */
   readonly largestPrefillMs: number;
-  /** Time of a step that only decodes, in milliseconds. */
+  /** Duration of a step that only decodes, in milliseconds. */
   readonly decodeMs: number;
-  /** Whether other online streams are decoding. */
+  /** Whether other online streams are being decoded. */
   readonly decoding: boolean;
 }
 
-interface Expected {
+/** Estimate for a request without batch work. */
+interface BaselineEstimate {
+  /** Time from arrival to the first token, in milliseconds. */
   readonly firstTokenMs: number;
+  /** Time that its prefill occupies the engine, in milliseconds. */
   readonly serviceMs: number;
 }
 
-/** Follows online prompts as if there were no batch work. */
-export class AloneQueue {
+/** Simulates the prefill queue of an engine that runs online work only. */
+export class BaselineQueue {
+  /** Time at which the simulated queue becomes empty, in milliseconds. */
   private busyUntil = 0;
-  private readonly expected = new Map<string, Expected>();
+  private readonly estimates = new Map<string, BaselineEstimate>();
 
   /**
-   * @param id - An online request that came in.
-   * @param need - What it needs.
-   * @param now - Milliseconds.
+   * Adds an online request to the simulated queue.
+   *
+   * @param id - The id of the request that arrived.
+   * @param demand - What it costs the engine.
+   * @param now - Time in milliseconds.
    */
-  arrived(id: string, need: AloneNeed, now: number): void {
-    const {prefillMs, decodeMs} = need;
-    const share = prefillMs / Math.max(1, need.largestPrefillMs);
-    const behind = this.busyUntil > now;
-    // Behind others a prompt shares its first and last step with them.
-    const steps = behind ? share : Math.max(1, Math.ceil(share));
-    // The step in progress is half over, on average.
-    const residualMs = need.decoding ? decodeMs / 2 : 0;
-    const from = Math.max(now + residualMs, this.busyUntil);
+  arrived(id: string, demand: BaselineDemand, now: number): void {
+    const {prefillMs, decodeMs} = demand;
+    const stepShare = prefillMs / Math.max(1, demand.largestPrefillMs);
+    const queued = this.busyUntil > now;
+    // A queued prompt shares its first and its last step with the prompts
+    // before and after it, so it counts fractions of steps.
+    const steps = queued ? stepShare : Math.max(1, Math.ceil(stepShare));
+    // On average, half of the step in progress is left.
+    const residualMs = demand.decoding ? decodeMs / 2 : 0;
+    const startMs = Math.max(now + residualMs, this.busyUntil);
     const serviceMs = prefillMs + steps * decodeMs;
-    this.busyUntil = from + serviceMs;
+    this.busyUntil = startMs + serviceMs;
     const firstTokenMs = this.busyUntil - now;
-    this.expected.set(id, {firstTokenMs, serviceMs});
+    this.estimates.set(id, {firstTokenMs, serviceMs});
   }
 
   /**
-   * @param id - An online request that got its first token.
-   * @returns When it would have got it, in milliseconds after it came in.
+   * Removes an online request that got its first token.
+   *
+   * @param id - The id of the request.
+   * @returns The estimated time to first token without batch work, in
+   *     milliseconds since arrival; undefined for an unknown request.
    */
   firstToken(id: string): number | undefined {
-    const expected = this.expected.get(id);
-    this.expected.delete(id);
-    return expected?.firstTokenMs;
+    const estimate = this.estimates.get(id);
+    this.estimates.delete(id);
+    return estimate?.firstTokenMs;
   }
 
-  /** @param id - An online request that ended without a token. */
-  gone(id: string): void {
-    const expected = this.expected.get(id);
-    if (expected === undefined) return;
-    this.expected.delete(id);
-    this.busyUntil -= expected.serviceMs;
+  /**
+   * Removes an online request that ended without a first token, and the time
+   * that it would have taken.
+   *
+   * @param id - The id of the request.
+   */
+  ended(id: string): void {
+    const estimate = this.estimates.get(id);
+    if (estimate === undefined) return;
+    this.estimates.delete(id);
+    this.busyUntil -= estimate.serviceMs;
   }
 }
--- a/packages/core/src/lib/process/batch_controller.ts
+++ b/packages/core/src/lib/process/batch_controller.ts
@@ -1,80 +1,107 @@
 /**
- * How much batch work an engine takes beside online work. Every step that
- * serves online streams has to stay within the declared ratio of the p99 that
- * they would see alone; then the p99 with batch work cannot exceed that ratio,
- * while the many steps that are shorter than the tail leave room.
+ * Bounds how much batch work an engine runs beside online work. Every step that
+ * serves online streams has to stay within the configured ratio of the baseline
+ * p99, which is the p99 without batch work. Then the p99 with batch work cannot
+ * exceed that ratio, while the many steps that are shorter than the tail leave
+ * capacity for batch work.
  */
 import type {AdmissionRequest} from './admission.js';
 import type {EngineSenses} from './engine_senses.js';
-import {allowedMs, plannedHarm} from './harm_guard.js';
-import type {HarmMeter} from './harm_meter.js';
-import type {OnlineGate} from './online_gate.js';
-import type {PromptCache} from './prompt_cache.js';
+import {allowedDurationMs, plannedSlowdown} from './harm_guard.js';
+import type {InterferenceMeter} from './harm_meter.js';
+import type {OnlineLimiter} from './online_gate.js';
+import type {PrefixCacheModel} from './prompt_cache.js';
 import type {RunningSet} from './running_set.js';
-import type {StepClock} from './step_clock.js';
+import type {StepDetector} from './step_clock.js';
 import type {StepModel} from './step_model.js';
 import type {PoolConfig} from '../version/target_config.js';
 
-/** What the controller weighs; a bench sweeps them. */
+/** Tuning parameters of the controller, which a benchmark can sweep. */
 export interface BatchTuning {
-  /** Share of the accepted harm that is planned for; the rest is error. */
-  readonly harmMargin: number;
-  /** Streams beyond the most proven ones that are tried at once. */
+  /**
+   * Share of the accepted slowdown that is planned for. The rest is a reserve
+   * for prediction errors.
+   */
+  readonly slowdownMargin: number;
+  /**
+   * Streams beyond the largest number observed so far that may be tried at
+   * once.
+   */
   readonly probeStreams: number;
-  /** Share of the engine's memory that all work may fill. */
+  /** Share of the engine's KV cache memory that all requests may fill. */
   readonly kvShare: number;
-  /** Steps' worth of prefill that is handed over ahead. */
-  readonly prefillSteps: number;
+  /**
+   * Prefill work that may be queued at the engine, in multiples of the maximum
+   * prefill of one step.
+   */
+  readonly prefillQueueSteps: number;
 }
 
-/** Values that held up on all traces. */
+/** The default tuning; this one set of values suits all benchmark traces. */
 export const DEFAULT_BATCH_TUNING: BatchTuning = {
-  harmMargin: 0.4,
+  slowdownMargin: 0.4,
   probeStreams: 4,
   kvShare: 0.95,
-  prefillSteps: 2,
+  prefillQueueSteps: 2,
 };
 
 /**
- * Steps are planned this much shorter than the limit, the more the more tokens
- * were late lately.
+ * Steps are planned shorter than the limit by a margin, as a share of the
+ * limit. The margin grows from the first value to the second as the error
+ * budget of late tokens is overspent.
  */
-const AIM_BELOW = 0.005;
-const AIM_BELOW_IN_DEBT = 0.03;
+const STEP_MARGIN = 0.005;
+const STEP_MARGIN_OVERSPENT = 0.03;
 
-/** A few streams too many are left to end by themselves. */
-const MIN_SURPLUS = 2;
+/**
+ * Streams are preempted as surplus only beyond this number and beyond this
+ * share of the running ones. A smaller surplus is left to finish by itself.
+ */
+const MIN_SURPLUS_STREAMS = 2;
 const SURPLUS_SHARE = 0.15;
-/** A prompt up to this size is cheap to prefill again. */
-const CHEAP_TOKENS = 128;
-/** Steps that settle where one arrival in four leaves fewer streams. */
-const SURVIVOR_UP = 0.25;
-const SURVIVOR_DOWN = 0.75;
-const MAX_SURVIVORS = 64;
-/** A piece of a prompt is worth its overhead from this size on. */
-const MIN_PIECE_TOKENS = 128;
+/** A prompt of up to this many tokens is cheap to prefill again. */
+const CHEAP_PREFILL_TOKENS = 128;
+/**
+ * Increments of the estimated number of batch streams that an online arrival
+ * leaves running. With this ratio the estimate settles at the lower quartile:
+ * one arrival in four leaves fewer streams.
+ */
+const RETAINED_INCREASE = 0.25;
+const RETAINED_DECREASE = 0.75;
+const MAX_RETAINED_STREAMS = 64;
+/** A smaller prefill chunk is not worth its overhead. */
+const MIN_CHUNK_TOKENS = 128;
 
-/** Online tokens and requests before the measured tail is believed. */
-const MIN_TOKENS = 2_000;
-const MIN_REQUESTS = 100;
+/**
+ * Online tokens and requests that have to be measured before the baseline tail
+ * is used.
+ */
+const MIN_BASELINE_TOKENS = 2_000;
+const MIN_BASELINE_REQUESTS = 100;
 
-/** Bounds batch work at the engine; a bench puts rivals in its place. */
+/**
+ * A policy that bounds batch work at an engine. A benchmark substitutes other
+ * policies for comparison.
+ */
 export interface BatchRule {
   /**
-   * @param cfg - The pool.
-   * @returns The longest step wanted beside online streams, in milliseconds.
+   * @param cfg - The configuration of the pool.
+   * @returns The longest acceptable step beside online streams, in
+   *     milliseconds.
    */
   stepLimit(cfg: PoolConfig): number;
   /**
-   * @param cfg - The pool.
-   * @returns How many batch streams may run beside what is online now.
+   * @param cfg - The configuration of the pool.
+   * @returns The number of batch streams that may run beside the current online
+   *     work.
    */
   streams(cfg: PoolConfig): number;
   /**
-   * @param request - A batch request.
-   * @param cfg - Its pool.
-   * @param prefillTokens - Tokens of it that have to be prefilled.
-   * @returns Whether it may start now.
+   * @param request - A queued batch request.
+   * @param cfg - The configuration of its pool.
+   * @param prefillTokens - The number of its tokens that are not cached and
+   *     have to be prefilled.
+   * @returns Whether the request may start now.
    */
   admits(
     request: AdmissionRequest,
@@ -83,94 +110,98 @@
   ): boolean;
   /**
    * @param request - An online request that is about to start.
-   * @param cfg - Its pool.
-   * @param now - Milliseconds.
-   * @returns How many batch streams have to make room for it.
+   * @param cfg - The configuration of its pool.
+   * @param now - Time in milliseconds.
+   * @returns The number of batch streams to preempt for the request.
    */
   excess(request: AdmissionRequest, cfg: PoolConfig, now: number): number;
   /**
-   * @param cfg - The pool.
-   * @returns How many batch streams are too many for what was measured since
-   *     they started.
+   * @param cfg - The configuration of the pool.
+   * @returns The number of batch streams to preempt because measurements taken
+   *     since they started lowered the limit.
    */
   surplus(cfg: PoolConfig): number;
   /**
-   * @param cfg - The pool.
-   * @returns How many tokens of a longer batch prompt may be prefilled now; 0
-   *     for none.
+   * @param cfg - The configuration of the pool.
+   * @returns The number of tokens of a longer batch prompt that may be prefilled
+   *     now as a chunk; 0 for none.
    */
   pieceTokens(cfg: PoolConfig): number;
 }
 
-/** Bounds batch work by what it does to the steps of online streams. */
+/** Bounds batch work by its measured effect on the steps of online streams. */
 export class BatchController implements BatchRule {
   private readonly model: StepModel;
   private readonly running: RunningSet;
-  private readonly meter: HarmMeter;
-  private readonly gate: OnlineGate;
-  private readonly steps: StepClock;
-  private readonly cache: PromptCache;
-  /** Batch streams that most online arrivals leave. */
-  private survivors = 0;
+  private readonly meter: InterferenceMeter;
+  private readonly onlineLimiter: OnlineLimiter;
+  private readonly stepDetector: StepDetector;
+  private readonly prefixCache: PrefixCacheModel;
+  /** Batch streams that three in four online arrivals leave running. */
+  private retainedStreams = 0;
 
   /**
-   * @param senses - What to go by.
-   * @param tuning - What to weigh.
+   * @param observer - The observed state of the engine.
+   * @param tuning - The tuning parameters.
    */
   constructor(
-    senses: EngineSenses,
+    observer: EngineSenses,
     private readonly tuning: BatchTuning = DEFAULT_BATCH_TUNING,
   ) {
-    this.model = senses.model;
-    this.running = senses.running;
-    this.meter = senses.meter;
-    this.gate = senses.gate;
-    this.steps = senses.steps;
-    this.cache = senses.cache;
+    this.model = observer.model;
+    this.running = observer.running;
+    this.meter = observer.meter;
+    this.onlineLimiter = observer.gate;
+    this.stepDetector = observer.stepDetector;
+    this.prefixCache = observer.prefixCache;
   }
 
   /**
-   * @param cfg - The pool.
-   * @returns The longest step that batch work may bring about beside online
-   *     streams without harm to the p99, in milliseconds.
+   * @param cfg - The configuration of the pool.
+   * @returns The longest step that batch work may cause beside online streams
+   *     without raising their p99 beyond the planned slowdown, in milliseconds.
    */
   stepLimit(cfg: PoolConfig): number {
     const {meter, model, running} = this;
-    const known = meter.tokens >= MIN_TOKENS;
-    // Until the tail is known, the step of what is online stands for it.
+    const isBaselineKnown = meter.tokenSamples >= MIN_BASELINE_TOKENS;
+    // Until the baseline tail is known, the predicted step of the current
+    // online streams is used in its place.
     const streams = running.online.running;
-    const alone = known
-      ? meter.aloneStepMs
+    const baselineMs = isBaselineKnown
+      ? meter.baselineStepMs
       : model.predict({streams, prefillTokens: 0});
-    return this.harm(cfg) * alone;
+    return this.plannedSlowdownOf(cfg) * baselineMs;
   }
 
   streams(cfg: PoolConfig): number {
     const {online, batch} = this.running;
-    // Until then few streams run, so that steps without any prefill come.
+    // The model learns its decode cost from steps without prefill. Running few
+    // streams until it is ready ensures that such steps occur.
     if (!this.model.ready) {
       return Math.max(0, this.tuning.probeStreams - online.running);
     }
-    const proven = this.model.largestSeen + this.tuning.probeStreams;
-    const most = Math.min(proven, this.gate.streamCeiling);
-    const within = this.within(this.limitNow(cfg), 0);
-    const room = Math.min(within, most) - online.running;
-    return Math.max(0, Math.min(room, batch.running + most));
+    const probeLimit = this.model.maxObservedStreams + this.tuning.probeStreams;
+    const maxStreams = Math.min(probeLimit, this.onlineLimiter.streamLimit);
+    const byLatency = this.streamsWithin(this.currentStepLimitMs(cfg), 0);
+    const freeStreams = Math.min(byLatency, maxStreams) - online.running;
+    return Math.max(0, Math.min(freeStreams, batch.running + maxStreams));
   }
 
   admits(request: AdmissionRequest, cfg: PoolConfig, prefill: number): boolean {
     const {online, batch} = this.running;
     if (online.prefillTokens > 0) return false;
     if (batch.running >= this.streams(cfg)) return false;
-    if (prefill > CHEAP_TOKENS && this.wouldBeWasted()) return false;
-    const kv = this.kvAtEnd() + request.promptTokens + request.maxTokens;
-    if (kv > this.gate.memory * this.tuning.kvShare) return false;
+    if (prefill > CHEAP_PREFILL_TOKENS && this.isPrefillWasteLikely())
+      return false;
+    const kvTokens = this.kvAtEnd() + request.promptTokens + request.maxTokens;
+    if (kvTokens > this.onlineLimiter.memoryTokens * this.tuning.kvShare)
+      return false;
     if (online.running + batch.running === 0) return true;
     const prefillTokens = batch.prefillTokens + prefill;
-    if (online.running === 0) return this.prefillFits(prefillTokens);
+    if (online.running === 0) return this.fitsPrefillQueue(prefillTokens);
     const streams = online.running + batch.running + 1;
     const stepMs = this.model.predict({streams, prefillTokens});
-    return stepMs <= this.aimMs(cfg, online.running, 0);
+    return stepMs <= this.plannedStepMs(cfg, online.running, 0);
   }
 
   excess(request: AdmissionRequest, cfg: PoolConfig, now: number): number {
@@ -178,58 +209,72 @@
     if (batch.running === 0) return 0;
     const streams = online.running + 1;
     const prefillTokens = online.prefillTokens + request.promptTokens;
-    const spare = this.spareMs(streams, prefillTokens, cfg);
-    const spareMs = spare - this.residualMs(now);
-    const beside = Math.min(
-      this.gate.streamCeiling - streams,
-      this.besideTokens(streams, prefillTokens, cfg),
-      this.besideFirstToken(prefillTokens, spareMs),
-      this.besideMemory(request),
+    const slack = this.firstTokenSlackMs(streams, prefillTokens, cfg);
+    const slackMs = slack - this.residualMs(now);
+    const allowed = Math.min(
+      this.onlineLimiter.streamLimit - streams,
+      this.streamsForTokenLatency(streams, prefillTokens, cfg),
+      this.streamsForFirstToken(prefillTokens, slackMs),
+      this.streamsForMemory(request),
+    );
+    const retained = Math.max(
+      0,
+      Math.floor(Math.min(allowed, MAX_RETAINED_STREAMS)),
+    );
+    const increased = retained > this.retainedStreams;
+    this.retainedStreams += increased ? RETAINED_INCREASE : -RETAINED_DECREASE;
+    const surplus = Math.max(0, batch.running - retained);
+    const delaysFirstToken =
+      this.model.prefillMs(batch.prefillTokens) > slackMs;
+    const preemptPrefills =
+      delaysFirstToken || this.prefillTooLong(streams, prefillTokens, cfg);
+    // Requests that are being prefilled are the newest, so they are preempted
+    // first.
+    return Math.max(
+      surplus,
+      preemptPrefills ? batch.running - batch.decoding : 0,
     );
-    const left = Math.max(0, Math.floor(Math.min(beside, MAX_SURVIVORS)));
-    const more = left > this.survivors;
-    this.survivors += more ? SURVIVOR_UP : -SURVIVOR_DOWN;
-    const over = Math.max(0, batch.running - left);
-    const late = this.model.prefillMs(batch.prefillTokens) > spareMs;
-    const inTheWay = late || this.prefillTooLong(streams, prefillTokens, cfg);
-    // Those being prefilled are the newest, so they are the first to go.
-    return Math.max(over, inTheWay ? batch.running - batch.decoding : 0);
   }
 
   surplus(cfg: PoolConfig): number {
     const {running} = this.running.batch;
-    const over = running - this.streams(cfg);
-    return over > Math.max(MIN_SURPLUS, running * SURPLUS_SHARE) ? over : 0;
+    const surplus = running - this.streams(cfg);
+    return surplus > Math.max(MIN_SURPLUS_STREAMS, running * SURPLUS_SHARE)
+      ? surplus
+      : 0;
   }
 
   /**
-   * Beside many streams a long prompt makes a step too long. Engines cache what
-   * they prefilled, so it is handed over in pieces that fit a step each.
+   * Beside many streams, a long prompt would make a step too long. Engines cache
+   * the tokens they have prefilled, so such a prompt is prefilled in chunks that
+   * fit into one step each.
    */
   pieceTokens(cfg: PoolConfig): number {
     const {online, batch} = this.running;
     if (online.prefillTokens > 0 || batch.prefillTokens > 0) return 0;
     if (batch.running >= this.streams(cfg)) return 0;
-    if (this.wouldBeWasted()) return 0;
+    if (this.isPrefillWasteLikely()) return 0;
     const streams = online.running + batch.running + 1;
     const decodeMs = this.model.predict({streams, prefillTokens: 0});
-    const spareMs = this.aimMs(cfg, online.running, 0) - decodeMs;
-    const tokens = spareMs / this.model.perPrefillToken;
-    return tokens < MIN_PIECE_TOKENS ? 0 : Math.floor(tokens);
+    const spareMs = this.plannedStepMs(cfg, online.running, 0) - decodeMs;
+    const tokens = spareMs / this.model.msPerPrefillToken;
+    return tokens < MIN_CHUNK_TOKENS ? 0 : Math.floor(tokens);
   }
 
   /**
-   * Beyond the streams that arrivals usually leave, a stream is preempted soon.
-   * Where the engine's cache cannot hold it until it goes on, its whole prompt
-   * is computed again each time, which costs more than it generates.
+   * Whether the prefill of another batch request would probably be lost. Beyond
+   * the number of streams that online arrivals usually leave running, a stream
+   * is preempted soon. If the engine's cache cannot hold it until it resumes,
+   * its whole prompt is computed again each time, which costs more than the
+   * tokens it generates.
    */
-  private wouldBeWasted(): boolean {
+  private isPrefillWasteLikely(): boolean {
     const {batch} = this.running;
-    if (batch.running < Math.max(1, this.survivors)) return false;
-    return batch.kvTokens > this.cache.trustedTokens;
+    if (batch.running < Math.max(1, this.retainedStreams)) return false;
+    return batch.kvTokens > this.prefixCache.retentionTokens;
   }
 
-  /** Whether batch prompts make the steps of online streams too long. */
+  /** Whether prefilling batch prompts makes steps too long for online streams. */
   private prefillTooLong(
     streams: number,
     prefillTokens: number,
@@ -241,13 +286,16 @@
       streams: streams + batch.running,
       prefillTokens: prefillTokens + batch.prefillTokens,
     });
-    return stepMs > this.aimMs(cfg, streams, prefillTokens);
+    return stepMs > this.plannedStepMs(cfg, streams, prefillTokens);
   }
 
-  /** Time that is left of the step in progress, which nothing can shorten. */
+  /**
+   * The remaining time of the step in progress, in milliseconds. A preemption
+   * takes effect only after it.
+   */
   private residualMs(now: number): number {
     const {online, batch} = this.running;
-    const {since} = this.steps;
+    const {since} = this.stepDetector;
     if (since === undefined) return 0;
     const stepMs = this.model.predict({
       streams: online.running + batch.running,
@@ -256,117 +304,152 @@
     return Math.max(0, since + stepMs - now);
   }
 
-  /** Batch streams that leave the steps of online streams short enough. */
-  private besideTokens(
+  /**
+   * The number of batch streams beside which the steps of online streams stay
+   * within their limit.
+   */
+  private streamsForTokenLatency(
     streams: number,
     prefillTokens: number,
     cfg: PoolConfig,
   ): number {
     if (!this.model.ready) return this.tuning.probeStreams - streams;
-    const aim = this.aimMs(cfg, streams, prefillTokens);
-    const decode = this.within(aim, 0) - streams;
-    // Nobody waits for a token while it prefills, but it will decode then.
-    if (this.running.online.decoding === 0) return decode;
-    return Math.min(decode, this.within(aim, prefillTokens) - streams);
+    const plannedMs = this.plannedStepMs(cfg, streams, prefillTokens);
+    const whileDecoding = this.streamsWithin(plannedMs, 0) - streams;
+    // No online stream waits for a token during the prefill, but the new request
+    // decodes after it.
+    if (this.running.online.decoding === 0) return whileDecoding;
+    return Math.min(
+      whileDecoding,
+      this.streamsWithin(plannedMs, prefillTokens) - streams,
+    );
   }
 
   /**
-   * Batch streams that leave the first token early enough. A request far below
-   * the tail may wait until it gets near it; one in the tail may wait only the
-   * accepted ratio longer.
+   * The number of batch streams beside which the first token of a request is in
+   * time. A request far below the tail of the distribution may be delayed until
+   * close to the tail; one in the tail may only be delayed by the accepted
+   * ratio.
    */
-  private besideFirstToken(prefillTokens: number, spareMs: number): number {
-    const each = this.prefillSteps(prefillTokens) * this.model.perStream;
-    return spareMs / Math.max(Number.EPSILON, each);
+  private streamsForFirstToken(prefillTokens: number, slackMs: number): number {
+    const msPerStream =
+      this.prefillSteps(prefillTokens) * this.model.msPerStream;
+    return slackMs / Math.max(Number.EPSILON, msPerStream);
   }
 
-  /** Milliseconds by which batch work may delay a first token. */
-  private spareMs(
+  /** The time by which batch work may delay a first token, in milliseconds. */
+  private firstTokenSlackMs(
     streams: number,
     prefillTokens: number,
     cfg: PoolConfig,
   ): number {
     const {model, meter} = this;
-    if (meter.requests < MIN_REQUESTS) return 0;
-    const stepMs = model.fixed + model.perStream * streams;
-    const alone =
+    if (meter.requestSamples < MIN_BASELINE_REQUESTS) return 0;
+    const stepMs = model.fixedMs + model.msPerStream * streams;
+    const baselineMs =
       model.prefillMs(prefillTokens) +
       this.prefillSteps(prefillTokens) * stepMs;
-    const harm = this.harm(cfg);
-    const allowed = allowedMs(cfg.batch, alone, meter.aloneFirstTokens);
-    return harm * allowed - alone;
+    const slowdown = this.plannedSlowdownOf(cfg);
+    const allowedMs = allowedDurationMs(
+      cfg.batch,
+      baselineMs,
+      meter.baselineFirstTokenQuantiles,
+    );
+    return slowdown * allowedMs - baselineMs;
   }
 
-  /** Steps in which an engine prefills so many tokens. */
+  /** The number of steps in which the engine prefills this many tokens. */
   private prefillSteps(tokens: number): number {
-    const {largestPrefill} = this.model;
-    const steps = this.model.prefillMs(tokens) / Math.max(1, largestPrefill);
+    const {maxStepPrefillMs} = this.model;
+    const steps = this.model.prefillMs(tokens) / Math.max(1, maxStepPrefillMs);
     return Math.max(1, Math.ceil(steps));
   }
 
-  private besideMemory(request: AdmissionRequest): number {
+  /** The number of batch streams that fit into memory beside a request. */
+  private streamsForMemory(request: AdmissionRequest): number {
     const {batch} = this.running;
-    const kv = this.kvAtEnd() + request.promptTokens + request.maxTokens;
-    const over = kv - this.gate.memory * this.tuning.kvShare;
-    if (over <= 0) return Number.POSITIVE_INFINITY;
-    const each = Math.max(1, batch.kvAtEnd / Math.max(1, batch.running));
-    return batch.running - Math.ceil(over / each);
+    const kvTokens = this.kvAtEnd() + request.promptTokens + request.maxTokens;
+    const excessTokens =
+      kvTokens - this.onlineLimiter.memoryTokens * this.tuning.kvShare;
+    if (excessTokens <= 0) return Number.POSITIVE_INFINITY;
+    const kvPerStream = Math.max(1, batch.kvAtEnd / Math.max(1, batch.running));
+    return batch.running - Math.ceil(excessTokens / kvPerStream);
   }
 
-  /** Streams whose step, with so much to prefill, stays within a limit. */
-  private within(limitMs: number, prefillTokens: number): number {
-    const none = this.model.predict({streams: 1, prefillTokens});
-    const {perStream} = this.model;
-    if (perStream <= 0) return Number.POSITIVE_INFINITY;
-    return Math.max(0, 1 + Math.floor((limitMs - none) / perStream));
+  /**
+   * The number of streams whose step, with this many tokens to prefill, stays
+   * within a limit.
+   */
+  private streamsWithin(limitMs: number, prefillTokens: number): number {
+    const oneStreamMs = this.model.predict({streams: 1, prefillTokens});
+    const {msPerStream} = this.model;
+    if (msPerStream <= 0) return Number.POSITIVE_INFINITY;
+    return Math.max(0, 1 + Math.floor((limitMs - oneStreamMs) / msPerStream));
   }
 
-  private prefillFits(tokens: number): boolean {
+  /** Whether the engine may be given this much prefill work at once. */
+  private fitsPrefillQueue(tokens: number): boolean {
     const {batch} = this.running;
     if (batch.prefillTokens === 0) return true;
-    const most = this.model.largestPrefill * this.tuning.prefillSteps;
-    return this.model.prefillMs(tokens) <= most;
+    const maxMs = this.model.maxStepPrefillMs * this.tuning.prefillQueueSteps;
+    return this.model.prefillMs(tokens) <= maxMs;
   }
 
-  /** The step to plan for beside so much online work. */
-  private aimMs(
+  /**
+   * The step duration to plan for beside this much online work, in
+   * milliseconds: the allowed duration less a margin.
+   */
+  private plannedStepMs(
     cfg: PoolConfig,
     streams: number,
     prefillTokens: number,
   ): number {
-    const debt = Math.max(0, -this.meter.credit);
-    const below = AIM_BELOW + (AIM_BELOW_IN_DEBT - AIM_BELOW) * debt;
-    return this.plannedMs(cfg, streams, prefillTokens) * (1 - below);
+    const overspent = Math.max(0, -this.meter.errorBudget);
+    const margin =
+      STEP_MARGIN + (STEP_MARGIN_OVERSPENT - STEP_MARGIN) * overspent;
+    return this.allowedStepMs(cfg, streams, prefillTokens) * (1 - margin);
   }
 
-  /** The longest step that the declared weight leaves to so much online work. */
-  private plannedMs(
+  /**
+   * The longest step that the configured throughput weight allows beside this
+   * much online work, in milliseconds.
+   */
+  private allowedStepMs(
     cfg: PoolConfig,
     streams: number,
     prefillTokens: number,
   ): number {
     const {meter, model, running} = this;
-    if (meter.tokens < MIN_TOKENS) return this.stepLimit(cfg);
-    // Slowed streams last longer: alone fewer of them would run at a time.
-    const fewer = running.online.decoding - meter.aloneStreams();
-    const alone = model.predict({
-      streams: Math.max(0, streams - fewer),
+    if (meter.tokenSamples < MIN_BASELINE_TOKENS) return this.stepLimit(cfg);
+    // Streams that are slowed down last longer, so more of them run
+    // concurrently than would without batch work.
+    const slowdownStreams = running.online.decoding - meter.baselineStreams();
+    const baselineMs = model.predict({
+      streams: Math.max(0, streams - slowdownStreams),
       prefillTokens,
     });
-    return this.harm(cfg) * allowedMs(cfg.batch, alone, meter.aloneSteps);
+    return (
+      this.plannedSlowdownOf(cfg) *
+      allowedDurationMs(cfg.batch, baselineMs, meter.baselineStepQuantiles)
+    );
   }
 
-  /** With nobody online, a step harms only who comes in before it ends. */
-  private limitNow(cfg: PoolConfig): number {
+  /**
+   * The longest step allowed beside the current online work, in milliseconds.
+   * Without online work, a step only delays requests that arrive before it ends.
+   */
+  private currentStepLimitMs(cfg: PoolConfig): number {
     const {running, prefillTokens} = this.running.online;
     if (running === 0) return cfg.betweenTokensMs;
-    return this.plannedMs(cfg, running, prefillTokens);
+    return this.allowedStepMs(cfg, running, prefillTokens);
   }
 
-  private harm(cfg: PoolConfig): number {
-    return plannedHarm(cfg.batch, this.tuning.harmMargin);
+  /** The ratio of online latency to its baseline that is planned for. */
+  private plannedSlowdownOf(cfg: PoolConfig): number {
+    return plannedSlowdown(cfg.batch, this.tuning.slowdownMargin);
   }
 
+  /** Tokens in the KV cache once all running requests have finished decoding. */
   private kvAtEnd(): number {
     return this.running.online.kvAtEnd + this.running.batch.kvAtEnd;
   }
--- a/packages/core/src/lib/process/engine_admission.ts
+++ b/packages/core/src/lib/process/engine_admission.ts
@@ -1,6 +1,7 @@
 /**
- * Admission at one target: hands each event to the lane of its pool. All models
- * of a target share its engine and so one lane; each plain service has its own.
+ * Admission control at one target. It dispatches each event to the scheduler of
+ * the pool concerned. All models of a target share its engine and therefore one
+ * scheduler; each plain service has its own.
  */
 import type {
   Admission,
@@ -10,10 +11,10 @@
   AdmissionRequest,
 } from './admission.js';
 import type {BatchRule} from './batch_controller.js';
-import {EngineLane} from './engine_lane.js';
+import {EngineScheduler} from './engine_lane.js';
 import type {EngineSenses} from './engine_senses.js';
-import type {Lane} from './lane.js';
-import {ServiceLane} from './service_lane.js';
+import type {Scheduler} from './lane.js';
+import {ServiceScheduler} from './service_lane.js';
 import {notRun} from '../request/refusal.js';
 import type {PoolConfig} from '../version/target_config.js';
 
@@ -26,29 +27,29 @@
   ) => readonly AdmissionAction[];
 };
 
-/** Decides what runs when at one target. */
+/** Schedules the requests of one target. */
 export class EngineAdmission implements Admission {
-  private readonly engine: EngineLane;
-  private readonly services = new Map<string, ServiceLane>();
-  private readonly laneByPool = new Map<string, Lane>();
-  private readonly laneById = new Map<string, Lane>();
-  private isLeaving = false;
+  private readonly engine: EngineScheduler;
+  private readonly services = new Map<string, ServiceScheduler>();
+  private readonly schedulerByPool = new Map<string, Scheduler>();
+  private readonly schedulerById = new Map<string, Scheduler>();
+  private isDraining = false;
 
   private readonly handlers: Handlers = {
     arrived: ({request}, now) => this.arrived(request, now),
     ['first-token']: ({id}, now) =>
-      this.laneById.get(id)?.firstToken(id, now) ?? [],
+      this.schedulerById.get(id)?.firstToken(id, now) ?? [],
     tokens: ({id, count}, now) =>
-      this.laneById.get(id)?.tokens(id, count, now) ?? [],
+      this.schedulerById.get(id)?.tokens(id, count, now) ?? [],
     ended: ({id, how}, now) => {
-      const lane = this.laneById.get(id);
-      this.laneById.delete(id);
-      return lane?.ended(id, how, now) ?? [];
+      const scheduler = this.schedulerById.get(id);
+      this.schedulerById.delete(id);
+      return scheduler?.ended(id, how, now) ?? [];
     },
     abandoned: ({id}, now) => {
-      const lane = this.laneById.get(id);
-      const actions = lane?.abandoned(id, now) ?? [];
-      if (!lane?.runs(id)) this.laneById.delete(id);
+      const scheduler = this.schedulerById.get(id);
+      const actions = scheduler?.abandoned(id, now) ?? [];
+      if (!scheduler?.runs(id)) this.schedulerById.delete(id);
       return actions;
     },
     load: ({load}) => {
@@ -58,18 +59,20 @@
     config: ({pools, callerWeights}, now) =>
       this.configure(pools, callerWeights, now),
     leaving: (event, now) => {
-      this.isLeaving = true;
-      return this.lanes().flatMap(lane => lane.leaving(now));
+      this.isDraining = true;
+      return this.schedulers().flatMap(scheduler => scheduler.leaving(now));
     },
-    tick: (event, now) => this.lanes().flatMap(lane => lane.tick(now)),
+    tick: (event, now) =>
+      this.schedulers().flatMap(scheduler => scheduler.tick(now)),
   };
 
   /**
-   * @param buildRule - Builds the rule for batch work beside a model engine;
-   *     without it, the one that goes by measured harm.
+   * @param buildBatchLimiter - Builds the policy that bounds batch work at the model
+   *     engine. The default bounds it by the measured interference with online
+   *     work.
    */
-  constructor(buildRule?: (senses: EngineSenses) => BatchRule) {
-    this.engine = new EngineLane(buildRule);
+  constructor(buildBatchLimiter?: (observer: EngineSenses) => BatchRule) {
+    this.engine = new EngineScheduler(buildBatchLimiter);
   }
 
   handle(event: AdmissionEvent, now: number): readonly AdmissionAction[] {
@@ -80,13 +83,13 @@
     const actions = handler(event, now);
     for (const action of actions) {
       const gone = action.kind === 'refuse' || action.kind === 'give-back';
-      if (gone) this.laneById.delete(action.id);
+      if (gone) this.schedulerById.delete(action.id);
     }
     return actions;
   }
 
   load(): AdmissionLoad {
-    const loads = this.lanes().map(lane => lane.load());
+    const loads = this.schedulers().map(scheduler => scheduler.load());
     return loads.reduce((sum, load) => ({
       onlineRunning: sum.onlineRunning + load.onlineRunning,
       onlineQueued: sum.onlineQueued + load.onlineQueued,
@@ -103,13 +106,16 @@
     request: AdmissionRequest,
     now: number,
   ): readonly AdmissionAction[] {
-    const lane = this.laneByPool.get(request.pool);
-    if (lane === undefined) {
-      const refusal = notRun('no-target', 'This target does not serve that.');
+    const scheduler = this.schedulerByPool.get(request.pool);
+    if (scheduler === undefined) {
+      const refusal = notRun(
+        'no-target',
+        'This target does not serve the requested pool.',
+      );
       return [{kind: 'refuse', id: request.id, refusal}];
     }
-    this.laneById.set(request.id, lane);
-    return lane.arrived(request, now);
+    this.schedulerById.set(request.id, scheduler);
+    return scheduler.arrived(request, now);
   }
 
   private configure(
@@ -118,26 +124,27 @@
     now: number,
   ): readonly AdmissionAction[] {
     for (const cfg of pools) {
-      this.laneByPool.set(cfg.pool, this.laneFor(cfg, now));
+      this.schedulerByPool.set(cfg.pool, this.schedulerFor(cfg, now));
     }
     const models = pools.filter(({kind}) => kind === 'model');
     if (models.length > 0) this.engine.configure(models, weights);
-    for (const lane of this.services.values()) lane.configure(pools, weights);
+    for (const scheduler of this.services.values())
+      scheduler.configure(pools, weights);
     return [];
   }
 
-  private laneFor(cfg: PoolConfig, now: number): Lane {
+  private schedulerFor(cfg: PoolConfig, now: number): Scheduler {
     if (cfg.kind === 'model') return this.engine;
-    let lane = this.services.get(cfg.pool);
-    if (lane === undefined) {
-      lane = new ServiceLane(cfg);
-      if (this.isLeaving) lane.leaving(now);
-      this.services.set(cfg.pool, lane);
+    let scheduler = this.services.get(cfg.pool);
+    if (scheduler === undefined) {
+      scheduler = new ServiceScheduler(cfg);
+      if (this.isDraining) scheduler.leaving(now);
+      this.services.set(cfg.pool, scheduler);
     }
-    return lane;
+    return scheduler;
   }
 
-  private lanes(): readonly Lane[] {
+  private schedulers(): readonly Scheduler[] {
     return [this.engine, ...this.services.values()];
   }
 }
--- a/packages/core/src/lib/process/engine_lane.ts
+++ b/packages/core/src/lib/process/engine_lane.ts
@@ -1,7 +1,8 @@
 /**
- * Admission to a model engine. Online work goes in at once up to what was
- * measured, then waits shortly, then is refused; batch work takes what is left
- * and leaves in the same call in which online work needs its room.
+ * Schedules the requests of one model engine. Online requests start immediately
+ * up to the measured capacity, are queued for a short time beyond it, and are
+ * refused beyond that. Batch work uses the remaining capacity and is preempted
+ * in the same call in which an online request needs it.
  */
 import type {
   AdmissionAction,
@@ -12,54 +13,69 @@
 import type {BatchRule} from './batch_controller.js';
 import type {EngineLoad} from './engine_client.js';
 import {EngineSenses} from './engine_senses.js';
-import type {Queued} from './fair_queue.js';
-import type {EndKind, Lane} from './lane.js';
-import {wholeBlocks} from './prompt_cache.js';
-import type {Running} from './running_set.js';
-import {WaitingRoom} from './waiting_room.js';
+import type {QueuedRequest} from './fair_queue.js';
+import type {RunEnd, Scheduler} from './lane.js';
+import {roundDownToBlocks} from './prompt_cache.js';
+import type {RunningRequest} from './running_set.js';
+import {SchedulerQueues} from './waiting_room.js';
 import {notRun} from '../request/refusal.js';
 import type {Refusal} from '../request/refusal.js';
 import type {PoolConfig} from '../version/target_config.js';
 
 /**
- * Share of the aim for the first token that may be spent waiting. A caller that
- * has had less than its share may wait longer: behind a greedy one even modest
- * callers meet, and would be refused one for the other.
+ * Time that a request may be queued, as a share of the latency objective for
+ * the first token. The second value applies to callers that were served less
+ * than their share: while one caller floods the queue, requests of several
+ * light callers queue behind it, and at the lower limit they would be refused
+ * in favour of one another.
  */
 const WAIT_SHARE = 0.5;
-const LONGEST_WAIT_SHARE = 2;
+const MAX_WAIT_SHARE = 2;
 const MIN_RETRY_AFTER_MS = 50;
-/** Batch requests kept at hand, so that a free slot is filled at once. */
-const BATCH_AT_HAND = 16;
-/** Batch work that waited so long goes before what came later. */
-const LONG_WAIT_MS = 3_000;
-/** Larger than any prompt, in tokens. */
-const MAX_SIZE = 1e9;
-/** Share of the time to its deadline after which a suspect gets its turn. */
-const SUSPECT_PATIENCE = 0.5;
+/**
+ * Batch requests to keep queued, so that a free slot is filled without a round
+ * trip.
+ */
+const BATCH_QUEUE_TARGET = 16;
+/**
+ * Time in the queue after which batch requests are ordered by age, ahead of
+ * newer ones.
+ */
+const BATCH_AGING_MS = 3_000;
+/** Upper bound of the length of any prompt, in tokens; scales sort keys. */
+const PROMPT_TOKENS_BOUND = 1e9;
+/**
+ * Share of the time to its deadline that an online suspect waits for the engine
+ * to be free of online work. After that, batch work is preempted and not
+ * started, so that the engine can run empty.
+ */
+const SUSPECT_WAIT_SHARE = 0.5;
 
 type Actions = AdmissionAction[];
 
-/** Decides what runs when at one model engine. */
-export class EngineLane implements Lane {
-  private readonly senses = new EngineSenses();
-  private readonly running = this.senses.running;
-  private readonly room = new WaitingRoom();
-  private readonly cache = this.senses.cache;
-  /** Requests of which only so many tokens are being prefilled. */
+/** Schedules the requests of one model engine. */
+export class EngineScheduler implements Scheduler {
+  private readonly observer = new EngineSenses();
+  private readonly running = this.observer.running;
+  private readonly queues = new SchedulerQueues();
+  private readonly prefixCache = this.observer.prefixCache;
+  /**
+   * Requests of which only a prefill chunk is running, by id, with the number
+   * of prompt tokens up to the end of the chunk.
+   */
   private readonly pieces = new Map<string, number>();
-  private readonly batchRule: BatchRule;
+  private readonly batchLimiter: BatchRule;
   private pools = new Map<string, PoolConfig>();
-  private prefillsPieces = true;
-  private isLeaving = false;
+  private supportsChunkedPrefill = true;
+  private isDraining = false;
   private suspectRunning = false;
 
-  /** @param buildRule - Builds the rule for batch work. */
+  /** @param buildBatchLimiter - Builds the policy that bounds batch work. */
   constructor(
-    buildRule: (senses: EngineSenses) => BatchRule = senses =>
-      new BatchController(senses),
+    buildBatchLimiter: (observer: EngineSenses) => BatchRule = observer =>
+      new BatchController(observer),
   ) {
-    this.batchRule = buildRule(this.senses);
+    this.batchLimiter = buildBatchLimiter(this.observer);
   }
 
   configure(
@@ -67,65 +83,69 @@
     weights: Readonly<Record<string, number>>,
   ): void {
     this.pools = new Map(pools.map(cfg => [cfg.pool, cfg]));
-    this.room.setWeights(weights);
+    this.queues.setWeights(weights);
   }
 
   arrived(request: AdmissionRequest, now: number): readonly AdmissionAction[] {
-    if (this.isLeaving) return [turnedAway(request)];
+    if (this.isDraining) return [drainingRejection(request)];
     const online = request.class === 'online';
-    if (online) this.senses.arrived(request, now);
-    this.room.add(request, now);
-    const actions = this.pump(now);
+    if (online) this.observer.arrived(request, now);
+    this.queues.add(request, now);
+    const actions = this.schedule(now);
     if (online) this.shed(request, actions);
     return actions;
   }
 
   firstToken(id: string, now: number): readonly AdmissionAction[] {
-    // It was asked for a piece of the prompt and generates all the same.
-    if (this.pieces.delete(id)) this.prefillsPieces = false;
-    this.cache.add(this.running.get(id)?.prefillTokens ?? 0);
-    const closed = this.senses.firstToken(id, now, this.limitMs());
-    if (closed) this.cache.check(this.senses.unexpectedTokens);
-    return closed ? this.pump(now) : [];
+    // The target process started the whole request although only a prefill
+    // chunk was asked for, so it does not support chunks.
+    if (this.pieces.delete(id)) this.supportsChunkedPrefill = false;
+    this.prefixCache.recordComputed(this.running.get(id)?.prefillTokens ?? 0);
+    const stepEnded = this.observer.firstToken(id, now, this.stepLimitMs());
+    if (stepEnded)
+      this.prefixCache.adjustRetention(this.observer.unexpectedTokens);
+    return stepEnded ? this.schedule(now) : [];
   }
 
   tokens(id: string, count: number, now: number): readonly AdmissionAction[] {
-    const closed = this.senses.tokens(id, count, now, this.limitMs());
-    if (closed) this.cache.check(this.senses.unexpectedTokens);
-    return closed ? this.pump(now) : [];
+    const stepEnded = this.observer.tokens(id, count, now, this.stepLimitMs());
+    if (stepEnded)
+      this.prefixCache.adjustRetention(this.observer.unexpectedTokens);
+    return stepEnded ? this.schedule(now) : [];
   }
 
-  ended(id: string, how: EndKind, now: number): readonly AdmissionAction[] {
-    const piece = this.pieces.get(id);
+  ended(id: string, how: RunEnd, now: number): readonly AdmissionAction[] {
+    const chunkEnd = this.pieces.get(id);
     this.pieces.delete(id);
     const stopping = this.running.get(id)?.stopping ?? false;
-    const pieceDone = piece !== undefined && !stopping && how === 'preempted';
-    if (pieceDone) this.cache.keep(id, piece);
-    const running = this.senses.ended(id, how, pieceDone, now);
+    const chunkDone =
+      chunkEnd !== undefined && !stopping && how === 'preempted';
+    if (chunkDone) this.prefixCache.recordCached(id, chunkEnd);
+    const running = this.observer.ended(id, how, chunkDone, now);
     if (running === undefined) return [];
     const {generated, prefilling, prefillTokens} = running;
-    this.cache.add(prefilling ? prefillTokens : generated);
+    this.prefixCache.recordComputed(prefilling ? prefillTokens : generated);
     if (running.request.suspect) this.suspectRunning = false;
-    return this.pump(now);
+    return this.schedule(now);
   }
 
   abandoned(id: string, now: number): readonly AdmissionAction[] {
-    if (this.room.remove(id)) this.senses.meter.gone(id);
-    return this.pump(now);
+    if (this.queues.remove(id)) this.observer.meter.ended(id);
+    return this.schedule(now);
   }
 
   engineLoad(load: EngineLoad): void {
-    this.senses.gate.report(load);
-    this.cache.setMemory(load.kvTokensTotal);
+    this.observer.gate.report(load);
+    this.prefixCache.setMemoryTokens(load.kvTokensTotal);
   }
 
   leaving(now: number): readonly AdmissionAction[] {
-    this.isLeaving = true;
-    return [...this.room.giveBackBatch(), ...this.pump(now)];
+    this.isDraining = true;
+    return [...this.queues.returnBatch(), ...this.schedule(now)];
   }
 
   tick(now: number): readonly AdmissionAction[] {
-    return [...this.room.expire(now), ...this.pump(now)];
+    return [...this.queues.expire(now), ...this.schedule(now)];
   }
 
   runs(id: string): boolean {
@@ -135,196 +155,231 @@
   load(): AdmissionLoad {
     const {online, batch} = this.running;
     const cfg = this.anyPool();
-    const streams = cfg === undefined ? 0 : this.batchRule.streams(cfg);
-    const room = streams + BATCH_AT_HAND - batch.running - this.room.batch.size;
-    const closed = this.isLeaving || this.suspectRunning;
+    const streams = cfg === undefined ? 0 : this.batchLimiter.streams(cfg);
+    const batchRoom =
+      streams + BATCH_QUEUE_TARGET - batch.running - this.queues.batch.size;
+    const acceptsNoBatch = this.isDraining || this.suspectRunning;
     return {
       onlineRunning: online.running,
-      onlineQueued: this.room.online.size,
-      onlineCapacity: cfg === undefined ? 0 : this.senses.gate.capacity(cfg),
+      onlineQueued: this.queues.online.size,
+      onlineCapacity: cfg === undefined ? 0 : this.observer.gate.capacity(cfg),
       batchRunning: batch.running,
-      batchQueued: this.room.batch.size,
-      batchRoom: closed ? 0 : Math.max(0, room),
-      // Batch work gives way, so it is no reason to go elsewhere.
+      batchQueued: this.queues.batch.size,
+      batchRoom: acceptsNoBatch ? 0 : Math.max(0, batchRoom),
+      // Batch work is preempted for online work, so its prefill is no reason to
+      // route a request to another target.
       prefillTokens: online.prefillTokens,
-      stepMs: this.senses.model.predict({
+      stepMs: this.observer.model.predict({
         streams: online.running,
         prefillTokens: 0,
       }),
     };
   }
 
-  private pump(now: number): Actions {
+  private schedule(now: number): Actions {
     const actions: Actions = [];
-    const claimed = this.startSuspect(now, actions);
+    const emptyingForSuspect = this.startSuspect(now, actions);
     if (this.suspectRunning) {
-      this.yieldSuspect(actions);
+      this.preemptSuspect(actions);
       return actions;
     }
     this.startOnline(now, actions);
-    this.stopSurplus(actions);
-    if (!claimed && this.room.online.size === 0) this.startBatch(now, actions);
+    this.preemptSurplus(actions);
+    if (!emptyingForSuspect && this.queues.online.size === 0)
+      this.startBatch(now, actions);
     return actions;
   }
 
   /**
-   * A request that was in flight when a target died may have killed it. It runs
-   * with nothing beside it, so that a second death takes no other along and
-   * tells for certain that it was the cause.
+   * Starts a suspect request when it may run alone. A request that was in
+   * flight when a target crashed may have caused the crash. It runs alone, so
+   * that a second crash affects no other request and proves that it is the
+   * cause.
    *
-   * @returns Whether the engine is being emptied for it: nothing of batch may
-   *     start then, or it would be started and preempted without an end.
+   * @returns Whether a suspect was started or the engine is being emptied for
+   *     one. Batch work must not start then, or it would be started and
+   *     preempted in an endless loop.
    */
   private startSuspect(now: number, actions: Actions): boolean {
-    const next = this.room.peekSuspect();
+    const next = this.queues.peekSuspect();
     if (next === undefined || this.suspectRunning) return false;
-    if (!this.isSuspectsTurn(next, now)) return false;
+    if (!this.maySuspectStart(next, now)) return false;
     if (this.running.size > 0) {
-      for (const batch of this.running.newestBatch()) {
+      for (const batch of this.running.preemptibleBatch()) {
         this.preempt(batch, actions);
       }
       return true;
     }
     this.suspectRunning = true;
-    this.start(this.room.takeSuspect()!, now, actions);
+    this.start(this.queues.takeSuspect()!, now, actions);
     return true;
   }
 
-  /** Online work never waits behind batch work, suspect or not. */
-  private isSuspectsTurn({request, since}: Queued, now: number): boolean {
-    const {online} = this.room;
+  /**
+   * Whether the engine may be emptied for a suspect. A batch suspect waits
+   * until there is no online work, because online work never waits for batch
+   * work. An online suspect does so only for a share of the time to its
+   * deadline.
+   */
+  private maySuspectStart(
+    {request, since}: QueuedRequest,
+    now: number,
+  ): boolean {
+    const {online} = this.queues;
     if (this.running.online.running === 0 && online.size === 0) return true;
     if (request.class === 'batch') return false;
-    const patience = (request.deadline - since) * SUSPECT_PATIENCE;
-    return now - since >= patience;
+    const maxWaitMs = (request.deadline - since) * SUSPECT_WAIT_SHARE;
+    return now - since >= maxWaitMs;
   }
 
-  /** A suspect of batch gives way to online work as any batch stream does. */
-  private yieldSuspect(actions: Actions): void {
-    if (this.room.online.size === 0) return;
-    for (const batch of this.running.newestBatch()) {
+  /** Preempts a running batch suspect, like any batch stream, for online work. */
+  private preemptSuspect(actions: Actions): void {
+    if (this.queues.online.size === 0) return;
+    for (const batch of this.running.preemptibleBatch()) {
       this.preempt(batch, actions);
     }
   }
 
   private startOnline(now: number, actions: Actions): void {
-    const queue = this.room.online;
+    const queue = this.queues.online;
     for (let next = queue.peek(); next; next = queue.peek()) {
       const cfg = this.pools.get(next.request.pool)!;
-      if (!this.senses.gate.admits(next.request, cfg)) return;
+      if (!this.observer.gate.admits(next.request, cfg)) return;
       queue.take();
-      const excess = this.batchRule.excess(next.request, cfg, now);
-      const victims = this.running.newestBatch().slice(0, excess);
+      const excess = this.batchLimiter.excess(next.request, cfg, now);
+      const victims = this.running.preemptibleBatch().slice(0, excess);
       for (const victim of victims) this.preempt(victim, actions);
       this.start(next, now, actions);
     }
   }
 
-  private stopSurplus(actions: Actions): void {
+  private preemptSurplus(actions: Actions): void {
     const cfg = this.anyPool();
     if (cfg === undefined || this.running.batch.running === 0) return;
-    const surplus = this.batchRule.surplus(cfg);
+    const surplus = this.batchLimiter.surplus(cfg);
     if (surplus === 0) return;
-    for (const victim of this.running.newestBatch().slice(0, surplus)) {
+    for (const victim of this.running.preemptibleBatch().slice(0, surplus)) {
       this.preempt(victim, actions);
     }
   }
 
   private startBatch(now: number, actions: Actions): void {
-    const queue = this.room.batch;
+    const queue = this.queues.batch;
     if (queue.size === 0) return;
-    const size = (request: AdmissionRequest) => this.cache.left(request);
+    const size = (request: AdmissionRequest) =>
+      this.prefixCache.tokensToPrefill(request);
     const fits = (request: AdmissionRequest) => {
       const cfg = this.pools.get(request.pool)!;
-      return this.batchRule.admits(request, cfg, size(request));
+      return this.batchLimiter.admits(request, cfg, size(request));
     };
-    // Long prompts fit only while few streams run; short ones and streams that
-    // go on fit later too, so long ones go first, and before them what has
-    // waited long.
-    const rank = ({request, since}: Queued) =>
-      now - since > LONG_WAIT_MS ? now - since : size(request) / MAX_SIZE;
+    // Long prompts fit only while few streams run. Short prompts and resumed
+    // streams still fit later, so long prompts start first. Requests that have
+    // waited too long start before all others.
+    const rank = ({request, since}: QueuedRequest) =>
+      now - since > BATCH_AGING_MS
+        ? now - since
+        : size(request) / PROMPT_TOKENS_BOUND;
     for (;;) {
       const next = queue.take(fits, rank);
       if (next === undefined) break;
       this.start(next, now, actions);
     }
-    if (this.prefillsPieces) this.startPiece(now, actions);
+    if (this.supportsChunkedPrefill) this.startChunk(now, actions);
   }
 
-  /** Has a piece of a prompt prefilled that does not fit as a whole. */
-  private startPiece(now: number, actions: Actions): void {
+  /** Starts a prefill chunk of a prompt that is too long to start as a whole. */
+  private startChunk(now: number, actions: Actions): void {
     const cfg = this.anyPool();
     if (cfg === undefined) return;
-    const tokens = wholeBlocks(this.batchRule.pieceTokens(cfg));
+    const tokens = roundDownToBlocks(this.batchLimiter.pieceTokens(cfg));
     if (tokens === 0) return;
-    const longer = (request: AdmissionRequest) =>
-      this.cache.left(request) > tokens;
-    // What was begun goes on first: it is not cached for long.
-    const rank = ({request: {id}, since}: Queued) =>
-      this.cache.of(id) * MAX_SIZE - since;
-    const next = this.room.batch.take(longer, rank);
+    const isLonger = (request: AdmissionRequest) =>
+      this.prefixCache.tokensToPrefill(request) > tokens;
+    // Prompts that are partly prefilled come first, as their cached prefix may
+    // be evicted soon.
+    const rank = ({request: {id}, since}: QueuedRequest) =>
+      this.prefixCache.cachedTokens(id) * PROMPT_TOKENS_BOUND - since;
+    const next = this.queues.batch.take(isLonger, rank);
     if (next === undefined) return;
     const {request, since} = next;
     const {id} = request;
-    const prefillOnly = this.cache.of(id) + tokens;
+    const prefillOnly = this.prefixCache.cachedTokens(id) + tokens;
     this.pieces.set(id, prefillOnly);
-    this.senses.started(request, since, now, tokens);
+    this.observer.started(request, since, now, tokens);
     actions.push({kind: 'start', id, prefillOnly});
   }
 
-  private start({request, since}: Queued, now: number, actions: Actions): void {
-    this.senses.started(request, since, now, this.cache.left(request));
+  private start(
+    {request, since}: QueuedRequest,
+    now: number,
+    actions: Actions,
+  ): void {
+    this.observer.started(
+      request,
+      since,
+      now,
+      this.prefixCache.tokensToPrefill(request),
+    );
     actions.push({kind: 'start', id: request.id});
   }
 
-  private preempt(running: Running, actions: Actions): void {
+  private preempt(running: RunningRequest, actions: Actions): void {
     const {request, generated, prefilling} = running;
     const computed = request.promptTokens + request.resumedTokens + generated;
-    if (!prefilling) this.cache.keep(request.id, computed);
+    if (!prefilling) this.prefixCache.recordCached(request.id, computed);
     this.running.stop(running);
     actions.push({kind: 'preempt', id: request.id});
   }
 
-  /** Refuses at once what would wait longer than makes sense. */
+  /**
+   * Refuses online requests immediately while the expected wait exceeds its
+   * limit or the queue exceeds the capacity of the engine.
+   */
   private shed(request: AdmissionRequest, actions: Actions): void {
     const cfg = this.pools.get(request.pool)!;
-    const {gate, meter} = this.senses;
-    const queue = this.room.online;
-    const short = cfg.firstTokenMs * WAIT_SHARE;
-    const longest = cfg.firstTokenMs * LONGEST_WAIT_SHARE;
+    const {gate: limiter, meter} = this.observer;
+    const queue = this.queues.online;
+    const usualWaitMs = cfg.firstTokenMs * WAIT_SHARE;
+    const maxWaitMs = cfg.firstTokenMs * MAX_WAIT_SHARE;
     while (queue.size > 0) {
-      const wait = gate.expectedWait(queue.size - 1, cfg);
-      const full = wait > longest || queue.size > gate.capacity(cfg);
-      if (!full && wait <= short) return;
-      const victim = queue.last(!full);
+      const waitMs = limiter.expectedWaitMs(queue.size - 1, cfg);
+      const full = waitMs > maxWaitMs || queue.size > limiter.capacity(cfg);
+      if (!full && waitMs <= usualWaitMs) return;
+      const victim = queue.shedCandidate(!full);
       if (victim === undefined) return;
       const {id} = victim.request;
       queue.remove(id);
-      meter.gone(id);
-      actions.push({kind: 'refuse', id, refusal: overloaded(wait)});
+      meter.ended(id);
+      actions.push({kind: 'refuse', id, refusal: overloadRefusal(waitMs)});
     }
   }
 
-  private limitMs(): number {
+  private stepLimitMs(): number {
     const cfg = this.anyPool();
-    return cfg === undefined ? 0 : this.batchRule.stepLimit(cfg);
+    return cfg === undefined ? 0 : this.batchLimiter.stepLimit(cfg);
   }
 
-  /** The models of one engine share its steps, so the first stands for all. */
+  /**
+   * The configuration of the first pool. The models of one engine share its
+   * steps, so this configuration is used for all of them.
+   */
   private anyPool(): PoolConfig | undefined {
     for (const cfg of this.pools.values()) return cfg;
     return undefined;
   }
 }
 
-function turnedAway(request: AdmissionRequest): AdmissionAction {
+function drainingRejection(request: AdmissionRequest): AdmissionAction {
   const {id} = request;
   if (request.class === 'batch') return {kind: 'give-back', id};
-  const refusal = notRun('leaving', 'This target takes no new work.');
+  const refusal = notRun(
+    'leaving',
+    'The target is draining and accepts no new requests.',
+  );
   return {kind: 'refuse', id, refusal};
 }
 
-function overloaded(waitMs: number): Refusal {
+function overloadRefusal(waitMs: number): Refusal {
   const retryAfterMs = Math.max(MIN_RETRY_AFTER_MS, Math.ceil(waitMs));
-  return notRun('overloaded', 'The target has no room.', retryAfterMs);
+  return notRun('overloaded', 'The target is at capacity.', retryAfterMs);
 }
--- a/packages/core/src/lib/process/engine_senses.ts
+++ b/packages/core/src/lib/process/engine_senses.ts
@@ -1,67 +1,81 @@
 /**
- * What admission knows of an engine, all of it from the tokens that it streams:
- * what it has, how long its steps take and why, and what batch work does to
- * online callers.
+ * Observes an engine through the tokens that it streams: which requests run,
+ * how long its steps take and why, and how much batch work slows down online
+ * requests.
  */
 import type {AdmissionRequest} from './admission.js';
-import type {AloneNeed} from './alone_queue.js';
-import {HarmMeter} from './harm_meter.js';
-import type {EndKind} from './lane.js';
-import {OnlineGate} from './online_gate.js';
-import {PromptCache} from './prompt_cache.js';
+import type {BaselineDemand} from './alone_queue.js';
+import {InterferenceMeter} from './harm_meter.js';
+import type {RunEnd} from './lane.js';
+import {OnlineLimiter} from './online_gate.js';
+import {PrefixCacheModel} from './prompt_cache.js';
 import {RunningSet} from './running_set.js';
-import type {Running} from './running_set.js';
-import {StepClock} from './step_clock.js';
+import type {RunningRequest} from './running_set.js';
+import {StepDetector} from './step_clock.js';
 import {StepModel} from './step_model.js';
 
-/** In an overload prefilling never stops; then it is looked at in parts. */
-const LONG_PERIOD_TOKENS = 20_000;
-/** A step this little longer than one that only decodes prefilled nothing. */
+/**
+ * A period of continuous prefill is evaluated when it ends, or after this many
+ * tokens. Under overload, prefill never stops.
+ */
+const MAX_PERIOD_TOKENS = 20_000;
+/**
+ * A step counts as one without prefill up to this ratio of its duration to that
+ * of a step that only decodes.
+ */
 const STALL_TOLERANCE = 1.03;
+/** Tolerance when start times are compared with the start of a step. */
 const CLOCK_ERROR_MS = 1;
 
-/** Follows one engine. Times are in milliseconds. */
+/** Tracks the state of one engine. Times are in milliseconds. */
 export class EngineSenses {
-  /** The engine's step time. */
+  /** Predicts the step durations of the engine. */
   readonly model = new StepModel();
-  /** When its step began. */
-  readonly steps = new StepClock();
-  /** What it has. */
+  /** Detects the steps of the engine. */
+  readonly stepDetector = new StepDetector();
+  /** The requests at the engine. */
   readonly running = new RunningSet();
-  /** What online callers see. */
-  readonly meter = new HarmMeter();
-  /** What it holds. */
-  readonly gate = new OnlineGate(this.model, this.running);
-  /** What it has cached. */
-  readonly cache = new PromptCache();
-  /** Tokens prefilled in the last step beyond what was thought to be left. */
+  /** Measures the latency of online requests, with and without batch work. */
+  readonly meter = new InterferenceMeter();
+  /** Bounds the online work at the engine. */
+  readonly gate = new OnlineLimiter(this.model, this.running);
+  /** Estimates the contents of the prefix cache. */
+  readonly prefixCache = new PrefixCacheModel();
+  /**
+   * Tokens that the last step prefilled beyond the estimated remainder of all
+   * prompts.
+   */
   unexpectedTokens = 0;
   /** Sequences in the step in progress. */
-  private inStep = 0;
-  /** A time in which prompts were being prefilled without a break. */
-  private period = {tokens: 0, onlineOnly: true};
+  private stepSequences = 0;
+  /** The current period of continuous prefill. */
+  private prefillPeriod = {tokens: 0, onlineOnly: true};
 
   /**
-   * @param request - An online request that came in.
-   * @param now - Milliseconds.
+   * Records the arrival of an online request.
+   *
+   * @param request - The request.
+   * @param now - Current time.
    */
   arrived({id, promptTokens}: AdmissionRequest, now: number): void {
     const {model, meter} = this;
-    const alone = meter.aloneStreams();
-    const need: AloneNeed = {
+    const baselineStreams = meter.baselineStreams();
+    const demand: BaselineDemand = {
       prefillMs: model.prefillMs(promptTokens),
-      largestPrefillMs: model.largestPrefill,
-      decodeMs: model.fixed + model.perStream * (alone + 1),
-      decoding: alone > 0,
+      largestPrefillMs: model.maxStepPrefillMs,
+      decodeMs: model.fixedMs + model.msPerStream * (baselineStreams + 1),
+      decoding: baselineStreams > 0,
     };
-    meter.arrived(id, need, now);
+    meter.arrived(id, demand, now);
   }
 
   /**
-   * @param request - What is handed to the engine.
-   * @param arrivedAt - When it came in.
-   * @param now - Milliseconds.
-   * @param prefillTokens - Tokens that have to be prefilled, as estimated.
+   * Records that a request is sent to the engine.
+   *
+   * @param request - The request.
+   * @param arrivedAt - Arrival time of the request.
+   * @param now - Current time.
+   * @param prefillTokens - Estimated number of tokens to prefill.
    */
   started(
     request: AdmissionRequest,
@@ -70,125 +84,147 @@
     prefillTokens: number,
   ): void {
     if (this.running.size === 0) {
-      this.steps.begin(now);
-      this.inStep = 1;
+      this.stepDetector.begin(now);
+      this.stepSequences = 1;
     }
     this.running.start(request, arrivedAt, now, prefillTokens);
-    this.period.onlineOnly &&= request.class === 'online';
+    this.prefillPeriod.onlineOnly &&= request.class === 'online';
   }
 
   /**
-   * @param id - A request that got its first token.
-   * @param now - Milliseconds.
-   * @param limitMs - The longest step wanted.
-   * @returns Whether a step ended with it.
+   * Records the first token of a request.
+   *
+   * @param id - The id of the request.
+   * @param now - Current time.
+   * @param limitMs - The longest acceptable step.
+   * @returns Whether the token is the first one observed of a completed step.
    */
   firstToken(id: string, now: number, limitMs: number): boolean {
     const running = this.running.get(id);
     if (running === undefined) return false;
-    const closed = this.closeStep(id, now, limitMs);
+    const stepEnded = this.detectStepEnd(id, now, limitMs);
     this.running.firstToken(id);
-    this.prefillDone(running.prefillTokens);
+    this.recordPrefillDone(running.prefillTokens);
     if (running.request.class === 'online') {
       this.meter.firstToken(id, now - running.arrivedAt);
     }
     this.running.tokens(id, 1);
-    return closed;
+    return stepEnded;
   }
 
   /**
-   * @param id - A request that got tokens.
-   * @param count - How many.
-   * @param now - Milliseconds.
-   * @param limitMs - The longest step wanted.
-   * @returns Whether a step ended with it.
+   * Records further tokens of a request.
+   *
+   * @param id - The id of the request.
+   * @param count - The number of tokens.
+   * @param now - Current time.
+   * @param limitMs - The longest acceptable step.
+   * @returns Whether the tokens are the first ones observed of a completed step.
    */
   tokens(id: string, count: number, now: number, limitMs: number): boolean {
-    const closed = this.closeStep(id, now, limitMs);
+    const stepEnded = this.detectStepEnd(id, now, limitMs);
     this.running.tokens(id, count);
-    return closed;
+    return stepEnded;
   }
 
   /**
-   * @param id - A request that the engine is free of.
+   * Records that the engine no longer holds a request.
+   *
+   * @param id - The id of the request.
    * @param how - How it ended.
-   * @param pieceDone - Whether it was a piece of a prompt, and is done.
-   * @param now - Milliseconds.
-   * @returns It, if the engine had it.
+   * @param chunkDone - Whether it was a prefill chunk that completed.
+   * @param now - Current time.
+   * @returns The request; undefined if the engine did not hold it.
    */
   ended(
     id: string,
-    how: EndKind,
-    pieceDone: boolean,
+    how: RunEnd,
+    chunkDone: boolean,
     now: number,
-  ): Running | undefined {
+  ): RunningRequest | undefined {
     const running = this.running.end(id);
     if (running === undefined) return undefined;
-    this.inStep -= 1;
-    // Stopped while prefilling: what was computed counts, though it is lost.
+    this.stepSequences -= 1;
+    // If the request was stopped during prefill, the tokens prefilled until then
+    // count for the period, although their result is lost.
     if (running.prefilling) {
-      const left = pieceDone ? 0 : running.prefillLeft;
-      this.prefillDone(running.prefillTokens - left);
+      const left = chunkDone ? 0 : running.prefillLeft;
+      this.recordPrefillDone(running.prefillTokens - left);
     }
     if (running.request.class === 'online') {
-      this.meter.gone(id);
+      this.meter.ended(id);
       if (how === 'done') this.gate.finished(now - running.startedAt);
     }
-    if (this.running.size === 0) this.steps.idle();
+    if (this.running.size === 0) this.stepDetector.idle();
     return running;
   }
 
-  private closeStep(id: string, now: number, limitMs: number): boolean {
-    const durationMs = this.steps.token(id, now);
+  private detectStepEnd(id: string, now: number, limitMs: number): boolean {
+    const durationMs = this.stepDetector.token(id, now);
     if (durationMs === undefined) return false;
     const {online, batch} = this.running;
     const decoding = online.decoding + batch.decoding;
-    // What was started while the step ran is not in it.
-    const before = now - durationMs - CLOCK_ERROR_MS;
-    const prefills = decoding === 0 || this.running.waitsSince(before);
-    const prefillTokens = prefills
+    // A request that was started during the step is not part of it.
+    const stepStartedAt = now - durationMs - CLOCK_ERROR_MS;
+    const prefilling =
+      decoding === 0 || this.running.hasPrefillStartedBefore(stepStartedAt);
+    const prefillTokens = prefilling
       ? Math.max(1, online.prefillTokens + batch.prefillTokens)
       : 0;
-    const streams = Math.max(decoding, this.inStep);
-    const stalled = prefills && this.stalled(durationMs, decoding);
-    this.gate.watchCeiling(stalled, decoding, now);
+    const streams = Math.max(decoding, this.stepSequences);
+    const stalled = prefilling && this.isStalled(durationMs, decoding);
+    this.gate.updateStreamLimit(stalled, decoding, now);
     if (!stalled) this.model.learn(durationMs, {streams, prefillTokens});
-    this.measure(durationMs, streams, limitMs);
-    this.inStep = this.running.size;
+    this.recordStep(durationMs, streams, limitMs);
+    this.stepSequences = this.running.size;
     return true;
   }
 
-  /** Splits a step into what online work needs and what batch work adds. */
-  private measure(durationMs: number, streams: number, limitMs: number): void {
+  /**
+   * Records a step with the duration that it would have had without batch work.
+   */
+  private recordStep(
+    durationMs: number,
+    streams: number,
+    limitMs: number,
+  ): void {
     const {model, meter} = this;
     const {online} = this.running;
     const prefilling = online.running - online.decoding;
     const tokens = model.prefilledIn(durationMs, streams);
-    const {online: done, unexpected} = this.running.prefilled(tokens);
+    const {online: onlinePrefillTokens, unexpected} =
+      this.running.recordPrefill(tokens);
     this.unexpectedTokens = unexpected;
-    const doneMs = model.prefillMs(done);
-    const alone = meter.aloneStreams() + (done > 0 ? prefilling : 0);
-    const decodeMs = model.fixed + model.perStream * alone;
+    const onlinePrefillMs = model.prefillMs(onlinePrefillTokens);
+    const baselineStreams =
+      meter.baselineStreams() + (onlinePrefillTokens > 0 ? prefilling : 0);
+    const decodeMs = model.fixedMs + model.msPerStream * baselineStreams;
     meter.step({
       durationMs,
-      aloneMs: decodeMs + doneMs,
+      baselineMs: decodeMs + onlinePrefillMs,
       onlineTokens: online.decoding,
       limitMs,
     });
   }
 
-  /** Whether a step prefilled nothing, though requests waited for it. */
-  private stalled(durationMs: number, streams: number): boolean {
+  /** Whether a step prefilled nothing although requests waited for prefill. */
+  private isStalled(durationMs: number, streams: number): boolean {
     if (streams === 0) return false;
     const decodeMs = this.model.predict({streams, prefillTokens: 0});
     return durationMs <= decodeMs * STALL_TOLERANCE;
   }
 
-  private prefillDone(tokens: number): void {
-    this.period.tokens += tokens;
-    const ended = !this.running.prefillsAny;
-    if (!ended && this.period.tokens < LONG_PERIOD_TOKENS) return;
-    this.model.endPrefill(this.period.tokens, this.period.onlineOnly);
-    this.period = {tokens: 0, onlineOnly: !this.running.prefillsBatch};
+  private recordPrefillDone(tokens: number): void {
+    this.prefillPeriod.tokens += tokens;
+    const ended = !this.running.isPrefilling;
+    if (!ended && this.prefillPeriod.tokens < MAX_PERIOD_TOKENS) return;
+    this.model.endPrefill(
+      this.prefillPeriod.tokens,
+      this.prefillPeriod.onlineOnly,
+    );
+    this.prefillPeriod = {
+      tokens: 0,
+      onlineOnly: !this.running.isPrefillingBatch,
+    };
   }
 }
--- a/packages/core/src/lib/process/fair_queue.ts
+++ b/packages/core/src/lib/process/fair_queue.ts
@@ -1,207 +1,218 @@
 /**
- * A queue that is fair by caller and, within a caller, by deadline. Next is
- * whoever was served least lately for its weight, counted in tokens, so a
- * caller that sends ten times as much waits behind the others. What was served
- * is forgotten with the tokens served since, so nobody pays for long.
+ * A weighted fair queue across callers, ordered by deadline within each caller.
+ * The next request is taken from the caller that was recently served the fewest
+ * tokens relative to its weight, so a caller that sends ten times as much waits
+ * behind the others. Past service decays with the tokens served since, so a
+ * burst does not penalize a caller for long.
  */
 import type {AdmissionRequest} from './admission.js';
 
-/** A request in a queue. */
-export interface Queued {
+/** A queued request. */
+export interface QueuedRequest {
   readonly request: AdmissionRequest;
-  /** When it was put in, in milliseconds. */
+  /** Time at which the request was queued, in milliseconds. */
   readonly since: number;
 }
 
-interface CallerLine {
-  readonly waiting: Queued[];
-  /** Tokens that wait. */
+interface CallerQueue {
+  readonly waiting: QueuedRequest[];
+  /** Total cost of the queued requests, in tokens. */
   tokens: number;
-  /** Tokens served lately, as of `servedAt`. */
+  /** Decayed number of tokens served to the caller, as of `servedAt`. */
   served: number;
-  /** Tokens that all callers had been served by then. */
+  /** Tokens served to all callers by then; the clock of the decay. */
   servedAt: number;
 }
 
-/** Tokens served to all after which most of what was served is forgotten. */
-const MEMORY_TOKENS = 200_000;
-/** A caller's service below this is as good as none. */
-const FORGOTTEN_TOKENS = 100;
-/** Beyond its share by so little a caller is not yet ahead. */
-const AHEAD = 1.1;
+/** Decay constant of past service, in tokens served to all callers. */
+const DECAY_TOKENS = 200_000;
+/** Recent service of a caller below this is treated as none, in tokens. */
+const NEGLIGIBLE_TOKENS = 100;
+/** A caller counts as over its share beyond this multiple of the share. */
+const OVER_SHARE_FACTOR = 1.1;
 
 /**
  * @param request - A request.
- * @returns What it costs a target, in tokens.
+ * @returns The maximum cost of the request, in prompt and output tokens.
  */
-export function costOf(request: AdmissionRequest): number {
+export function tokenCost(request: AdmissionRequest): number {
   return Math.max(1, request.promptTokens + request.maxTokens);
 }
 
-/** Waiting requests, taken in an order that is fair by caller. */
+/** A queue of requests that is fair across callers. */
 export class FairQueue {
-  private readonly lines = new Map<string, CallerLine>();
-  private readonly callerOf = new Map<string, string>();
+  private readonly queues = new Map<string, CallerQueue>();
+  private readonly callerById = new Map<string, string>();
   private weights: Readonly<Record<string, number>> = {};
-  private servedToAll = 0;
-  private tokensWaiting = 0;
+  private totalServed = 0;
+  private waitingTokens = 0;
 
-  /** How many wait. */
+  /** The number of queued requests. */
   get size(): number {
-    return this.callerOf.size;
+    return this.callerById.size;
   }
 
-  /** The cost of all that wait, in tokens. */
+  /** Total cost of the queued requests, in tokens. */
   get tokens(): number {
-    return this.tokensWaiting;
+    return this.waitingTokens;
   }
 
-  /** @param weights - Share of each caller; 1 where one is missing. */
+  /** @param weights - Weight by caller; the default is 1. */
   setWeights(weights: Readonly<Record<string, number>>): void {
     this.weights = weights;
   }
 
   /**
-   * @param request - What has to wait.
-   * @param now - Milliseconds.
+   * @param request - The request to queue.
+   * @param now - Time in milliseconds.
    */
   add(request: AdmissionRequest, now: number): void {
-    const line = this.lineOf(request.caller);
-    const entry: Queued = {request, since: now};
-    const after = line.waiting.findIndex(
+    const queue = this.queueOf(request.caller);
+    const entry: QueuedRequest = {request, since: now};
+    const after = queue.waiting.findIndex(
       other => other.request.deadline > request.deadline,
     );
-    if (after < 0) line.waiting.push(entry);
-    else line.waiting.splice(after, 0, entry);
-    line.tokens += costOf(request);
-    this.tokensWaiting += costOf(request);
-    this.callerOf.set(request.id, request.caller);
+    if (after < 0) queue.waiting.push(entry);
+    else queue.waiting.splice(after, 0, entry);
+    queue.tokens += tokenCost(request);
+    this.waitingTokens += tokenCost(request);
+    this.callerById.set(request.id, request.caller);
   }
 
-  /** @returns What is to run next, left in place. */
-  peek(): Queued | undefined {
-    return this.inOrder()[0]?.waiting[0];
+  /** @returns The next request, without removing it. */
+  peek(): QueuedRequest | undefined {
+    return this.leastServedFirst()[0]?.waiting[0];
   }
 
   /**
+   * Removes the next request that can run and charges its cost to its caller.
+   *
    * @param fits - Whether a request can run now.
-   * @param rank - Within a caller the highest goes first; else all are equal.
-   * @returns The first in order that can, taken out and charged to its caller.
+   * @param rank - Sort key within one caller, highest first; requests of equal
+   *     rank are taken by deadline.
+   * @returns The request; undefined if none can run.
    */
   take(
     fits: (request: AdmissionRequest) => boolean = () => true,
-    rank: (entry: Queued) => number = () => 0,
-  ): Queued | undefined {
-    for (const line of this.inOrder()) {
-      let best: Queued | undefined;
-      for (const entry of line.waiting) {
+    rank: (entry: QueuedRequest) => number = () => 0,
+  ): QueuedRequest | undefined {
+    for (const queue of this.leastServedFirst()) {
+      let best: QueuedRequest | undefined;
+      for (const entry of queue.waiting) {
         if (best && rank(entry) <= rank(best)) continue;
         if (fits(entry.request)) best = entry;
       }
-      if (best !== undefined) return this.takeFrom(line, best);
+      if (best !== undefined) return this.takeFrom(queue, best);
     }
     return undefined;
   }
 
   /**
-   * @param id - A request.
-   * @returns Whether it waited; it does no more.
+   * @param id - The id of the request to remove.
+   * @returns Whether the request was queued.
    */
   remove(id: string): boolean {
-    const caller = this.callerOf.get(id);
+    const caller = this.callerById.get(id);
     if (caller === undefined) return false;
-    const line = this.lineOf(caller);
-    const at = line.waiting.findIndex(entry => entry.request.id === id);
-    const [entry] = line.waiting.splice(at, 1);
-    line.tokens -= costOf(entry!.request);
-    this.tokensWaiting -= costOf(entry!.request);
-    this.callerOf.delete(id);
+    const queue = this.queueOf(caller);
+    const at = queue.waiting.findIndex(entry => entry.request.id === id);
+    const [entry] = queue.waiting.splice(at, 1);
+    queue.tokens -= tokenCost(entry!.request);
+    this.waitingTokens -= tokenCost(entry!.request);
+    this.callerById.delete(id);
     return true;
   }
 
   /**
-   * Who has to go when the queue is full: the last of the caller that was
-   * served most, with what it has waiting, for its weight.
+   * Finds the request to refuse when the queue is full: the one with the latest
+   * deadline of the caller with the largest sum of recent service and queued
+   * cost relative to its weight.
    *
-   * @param ahead - Only callers that have had more than their share.
-   * @returns The request, left in place.
+   * @param overShareOnly - Considers only callers that were served more than
+   *     their share.
+   * @returns The request, without removing it.
    */
-  last(ahead = false): Queued | undefined {
-    const least = ahead ? this.fairPart() * AHEAD : 0;
-    let last: Queued | undefined;
-    let most = Number.NEGATIVE_INFINITY;
-    for (const [caller, line] of this.lines) {
-      const entry = line.waiting.at(-1);
+  shedCandidate(overShareOnly = false): QueuedRequest | undefined {
+    const minServed = overShareOnly ? this.fairShare() * OVER_SHARE_FACTOR : 0;
+    let candidate: QueuedRequest | undefined;
+    let maxLoad = Number.NEGATIVE_INFINITY;
+    for (const [caller, queue] of this.queues) {
+      const entry = queue.waiting.at(-1);
       const weight = this.weightOf(caller);
-      const served = this.servedTo(line) / weight;
-      const load = served + line.tokens / weight;
-      if (entry === undefined || served < least || load <= most) continue;
-      most = load;
-      last = entry;
+      const served = this.recentlyServed(queue) / weight;
+      const load = served + queue.tokens / weight;
+      if (entry === undefined || served < minServed || load <= maxLoad)
+        continue;
+      maxLoad = load;
+      candidate = entry;
     }
-    return last;
+    return candidate;
   }
 
-  /** @returns All that wait, in no particular order. */
-  *entries(): Iterable<Queued> {
-    for (const line of this.lines.values()) yield* line.waiting;
+  /** @returns All queued requests, in no particular order. */
+  *entries(): Iterable<QueuedRequest> {
+    for (const queue of this.queues.values()) yield* queue.waiting;
   }
 
-  /** Forgets callers that have nothing waiting and were not served lately. */
+  /** Drops callers without queued requests and without recent service. */
   compact(): void {
-    for (const [caller, line] of this.lines) {
-      if (line.waiting.length > 0) continue;
-      if (this.servedTo(line) < FORGOTTEN_TOKENS) this.lines.delete(caller);
+    for (const [caller, queue] of this.queues) {
+      if (queue.waiting.length > 0) continue;
+      if (this.recentlyServed(queue) < NEGLIGIBLE_TOKENS)
+        this.queues.delete(caller);
     }
   }
 
-  private takeFrom(line: CallerLine, entry: Queued): Queued {
-    const cost = costOf(entry.request);
+  private takeFrom(queue: CallerQueue, entry: QueuedRequest): QueuedRequest {
+    const cost = tokenCost(entry.request);
     this.remove(entry.request.id);
-    line.served = this.servedTo(line) + cost;
-    this.servedToAll += cost;
-    line.servedAt = this.servedToAll;
+    queue.served = this.recentlyServed(queue) + cost;
+    this.totalServed += cost;
+    queue.servedAt = this.totalServed;
     return entry;
   }
 
-  /** Callers with something waiting, least served first. */
-  private inOrder(): readonly CallerLine[] {
-    return [...this.lines]
+  /** The non-empty queues, least recent service per weight first. */
+  private leastServedFirst(): readonly CallerQueue[] {
+    return [...this.queues]
       .filter(([, {waiting}]) => waiting.length > 0)
-      .map(([caller, line]) => ({
-        line,
-        served: this.servedTo(line) / this.weightOf(caller),
+      .map(([caller, queue]) => ({
+        queue,
+        served: this.recentlyServed(queue) / this.weightOf(caller),
       }))
       .sort((a, b) => a.served - b.served)
-      .map(({line}) => line);
+      .map(({queue}) => queue);
   }
 
-  /** Tokens for a weight of 1, had all callers been served alike. */
-  private fairPart(): number {
+  /**
+   * The recent service in tokens that a caller of weight 1 would have had if all
+   * had been served in proportion to their weights.
+   */
+  private fairShare(): number {
     let served = 0;
     let weights = 0;
-    for (const [caller, line] of this.lines) {
-      served += this.servedTo(line);
+    for (const [caller, queue] of this.queues) {
+      served += this.recentlyServed(queue);
       weights += this.weightOf(caller);
     }
     return weights > 0 ? served / weights : 0;
   }
 
-  private servedTo({served, servedAt}: CallerLine): number {
-    return served * Math.exp((servedAt - this.servedToAll) / MEMORY_TOKENS);
+  private recentlyServed({served, servedAt}: CallerQueue): number {
+    return served * Math.exp((servedAt - this.totalServed) / DECAY_TOKENS);
   }
 
   private weightOf(caller: string): number {
     return Math.max(Number.EPSILON, this.weights[caller] ?? 1);
   }
 
-  private lineOf(caller: string): CallerLine {
-    let line = this.lines.get(caller);
-    if (line === undefined) {
-      const servedAt = this.servedToAll;
-      line = {waiting: [], tokens: 0, served: 0, servedAt};
-      this.lines.set(caller, line);
+  private queueOf(caller: string): CallerQueue {
+    let queue = this.queues.get(caller);
+    if (queue === undefined) {
+      const servedAt = this.totalServed;
+      queue = {waiting: [], tokens: 0, served: 0, servedAt};
+      this.queues.set(caller, queue);
     }
-    return line;
+    return queue;
   }
 }
--- a/packages/core/src/lib/process/harm_guard.ts
+++ b/packages/core/src/lib/process/harm_guard.ts
@@ -1,50 +1,57 @@
 /**
- * How long something online may take beside batch work. What holds the p99
- * alone leaves the whole distribution below it to batch work; what holds the
- * p50 and p95 as well leaves little. The declared weight lies between.
+ * Computes how long a step or first token of online work may take beside batch
+ * work. Protecting only the p99 leaves the whole distribution below it to batch
+ * work; protecting the p50 and p95 as well leaves little. The configured
+ * throughput weight interpolates between the two.
  */
 import type {BatchPolicy} from '../version/target_config.js';
 
 /**
- * A distribution keeps its quantiles as long as nothing crosses one of them: a
- * duration may grow up to the next one above it.
+ * Returns the longest duration that keeps the quantiles of a distribution. They
+ * do not change as long as no duration crosses one of them, so a duration may
+ * grow up to the next quantile above it.
  *
- * @param aloneMs - How long it takes without batch work, in milliseconds.
- * @param quantiles - The quantiles to be held, ascending, in milliseconds.
- * @returns How long it may take, in milliseconds.
+ * @param baselineMs - The duration without batch work, in milliseconds.
+ * @param quantiles - The quantiles to protect, ascending, in milliseconds.
+ * @returns The next quantile, in milliseconds; the baseline itself if it is
+ *     above all of them.
  */
-export function withinQuantiles(
-  aloneMs: number,
+export function roundUpToQuantile(
+  baselineMs: number,
   quantiles: readonly number[],
 ): number {
-  return quantiles.find(quantile => quantile >= aloneMs) ?? aloneMs;
+  return quantiles.find(quantile => quantile >= baselineMs) ?? baselineMs;
 }
 
 /**
- * @param policy - What the deployment declared.
- * @param aloneMs - How long it takes without batch work, in milliseconds.
- * @param quantiles - The quantiles that online work has alone, ascending, in
- *     milliseconds.
- * @returns How long it may take, accepted harm left out, in milliseconds.
+ * Returns how long a step or first token may take at the configured throughput
+ * weight, before the accepted slowdown is applied.
+ *
+ * @param policy - The configured batch policy.
+ * @param baselineMs - The duration without batch work, in milliseconds.
+ * @param quantiles - The quantiles of online work without batch work,
+ *     ascending, in milliseconds.
+ * @returns The allowed duration, in milliseconds.
  */
-export function allowedMs(
+export function allowedDurationMs(
   {throughputWeight}: BatchPolicy,
-  aloneMs: number,
+  baselineMs: number,
   quantiles: readonly number[],
 ): number {
-  const least = withinQuantiles(aloneMs, quantiles);
-  const most = Math.max(least, quantiles.at(-1) ?? 0);
-  // A step grows with its streams and soon holds all that an engine runs, so
-  // that in proportion most of the weight's range would do nothing.
-  return least + (most - least) * throughputWeight ** 2;
+  const minMs = roundUpToQuantile(baselineMs, quantiles);
+  const maxMs = Math.max(minMs, quantiles.at(-1) ?? 0);
+  // The weight is squared because a step reaches the maximum number of streams
+  // of an engine early: with a linear weight, most of its range would have no
+  // effect.
+  return minMs + (maxMs - minMs) * throughputWeight ** 2;
 }
 
 /**
- * @param policy - What the deployment declared.
- * @param margin - Share of the accepted harm that is planned for.
- * @returns The ratio to online alone that is planned for.
+ * @param policy - The configured batch policy.
+ * @param margin - Share of the accepted slowdown that is planned for.
+ * @returns The planned ratio of online latency to its baseline, at least 1.
  */
-export function plannedHarm(
+export function plannedSlowdown(
   {throughputWeight, maxHarm}: BatchPolicy,
   margin: number,
 ): number {
--- a/packages/core/src/lib/process/harm_meter.ts
+++ b/packages/core/src/lib/process/harm_meter.ts
@@ -1,189 +1,233 @@
 /**
- * Measures what batch work does to the online tail, while it does it: of each
- * step it notes how long it took and how long it would have taken without the
- * batch streams. The quantiles of the latter are what online callers would see
- * alone; the controller keeps the former within a declared ratio of them.
+ * Measures the interference of batch work with the tail latency of online work
+ * while both run. For each step it records the actual duration and the estimated
+ * duration without the batch streams. The quantiles of the latter are the
+ * baseline of online requests; the controller keeps the actual latency within a
+ * configured ratio of it.
  */
-import {AloneQueue} from './alone_queue.js';
-import type {AloneNeed} from './alone_queue.js';
-import {RecentQuantile} from './recent_quantile.js';
+import {BaselineQueue} from './alone_queue.js';
+import type {BaselineDemand} from './alone_queue.js';
+import {RecentQuantiles} from './recent_quantile.js';
 
-const TAIL = 0.99;
+const TAIL_QUANTILE = 0.99;
 /**
- * What a cautious deployment wants held: p50, p95 and p99. Above the p95 they
- * lie close, as a step that crosses one by error may then grow to the next.
+ * The quantiles that the most conservative policy protects: p50, p95 and p99,
+ * with more of them around and above the p95. A step that crosses one quantile
+ * because of a prediction error may grow up to the next, so these lie close
+ * together.
  */
-const GUARDED = [0.5, 0.9, 0.93, 0.95, 0.96, 0.97, 0.98, TAIL];
-/** Online tokens that stand behind a quantile of the time between tokens. */
+const GUARDED_QUANTILES = [
+  0.5,
+  0.9,
+  0.93,
+  0.95,
+  0.96,
+  0.97,
+  0.98,
+  TAIL_QUANTILE,
+];
+/** Number of samples per histogram of the time between tokens, in tokens. */
 const TOKEN_WINDOW = 200_000;
 const TOKEN_REFRESH = 500;
-/** Requests that stand behind a quantile of the time to first token. */
+/** Number of samples per histogram of the time to first token, in requests. */
 const FIRST_TOKEN_WINDOW = 4_000;
 const FIRST_TOKEN_REFRESH = 5;
-/** Share of the tail's tokens that is planned for; the rest is error. */
-const OVERRUN_SHARE = 0.8;
-/** Online tokens beyond the limit that may be saved up. */
-const MAX_CREDIT = 200;
+/**
+ * Share of the tokens beyond the tail quantile that the error budget grants. The
+ * rest is a reserve for prediction errors.
+ */
+const ERROR_BUDGET_SHARE = 0.8;
+/** Bound of the error budget in either direction, in late online tokens. */
+const MAX_ERROR_BUDGET_TOKENS = 200;
 
-/** One step of the engine, and what it would have been without batch work. */
+/** A measured step of the engine. */
 export interface MeasuredStep {
+  /** Actual duration, in milliseconds. */
   readonly durationMs: number;
-  /** Its time without batch work. */
-  readonly aloneMs: number;
-  /** How many online streams got a token in it. */
+  /** Estimated duration without batch work, in milliseconds. */
+  readonly baselineMs: number;
+  /** Number of online streams that got a token in the step. */
   readonly onlineTokens: number;
-  /** The longest step that was wanted. */
+  /** The longest acceptable step, in milliseconds. */
   readonly limitMs: number;
 }
 
-/** Time of steps with online streams, as it was and without batch work. */
-interface Spent {
+/**
+ * Cumulative duration of steps with online streams, actual and without batch
+ * work, in milliseconds.
+ */
+interface StepTime {
   readonly actualMs: number;
-  readonly aloneMs: number;
+  readonly baselineMs: number;
 }
 
-/** What online callers see, and what they would see without batch work. */
-export class HarmMeter {
-  private readonly aloneStep = new RecentQuantile(
-    GUARDED,
+/** Measures online latency and estimates it without batch work. */
+export class InterferenceMeter {
+  private readonly baselineStep = new RecentQuantiles(
+    GUARDED_QUANTILES,
     TOKEN_WINDOW,
     TOKEN_REFRESH,
   );
-  private readonly actualStep = new RecentQuantile(
-    [TAIL],
+  private readonly actualStep = new RecentQuantiles(
+    [TAIL_QUANTILE],
     TOKEN_WINDOW,
     TOKEN_REFRESH,
   );
-  private readonly aloneFirst = new RecentQuantile(
-    GUARDED,
+  private readonly baselineFirstToken = new RecentQuantiles(
+    GUARDED_QUANTILES,
     FIRST_TOKEN_WINDOW,
     FIRST_TOKEN_REFRESH,
   );
-  private readonly actualFirst = new RecentQuantile(
-    [TAIL],
+  private readonly actualFirstToken = new RecentQuantiles(
+    [TAIL_QUANTILE],
     FIRST_TOKEN_WINDOW,
     FIRST_TOKEN_REFRESH,
   );
-  private readonly queue = new AloneQueue();
-  private readonly decoding = new Map<string, Spent>();
-  private readonly spent = {actualMs: 0, aloneMs: 0};
-  private lateTokens = 0;
+  private readonly baselineQueue = new BaselineQueue();
+  /** Value of `elapsed` at the first token of each decoding online request. */
+  private readonly startTimes = new Map<string, StepTime>();
+  /** Cumulative duration of all steps with online streams. */
+  private readonly elapsed = {actualMs: 0, baselineMs: 0};
+  private errorBudgetTokens = 0;
 
   /**
-   * Online tokens that may still be late, as a share of what can be saved up;
-   * negative when too many were.
+   * Remaining error budget: online tokens that may still be late, as a share of
+   * the maximum budget. Negative, down to -1, when it is overspent.
    */
-  get credit(): number {
-    return this.lateTokens / MAX_CREDIT;
+  get errorBudget(): number {
+    return this.errorBudgetTokens / MAX_ERROR_BUDGET_TOKENS;
   }
 
-  /** Online tokens that stand behind the quantiles. */
-  get tokens(): number {
-    return this.aloneStep.samples;
+  /** Number of online tokens in the histograms of the time between tokens. */
+  get tokenSamples(): number {
+    return this.baselineStep.samples;
   }
 
-  /** Online requests that stand behind the quantiles. */
-  get requests(): number {
-    return this.aloneFirst.samples;
+  /** Number of online requests in the histograms of the time to first token. */
+  get requestSamples(): number {
+    return this.baselineFirstToken.samples;
   }
 
-  /** Time between tokens at p99 without batch work, in milliseconds. */
-  get aloneStepMs(): number {
-    return this.aloneStep.value;
+  /** The p99 of the time between tokens without batch work, in milliseconds. */
+  get baselineStepMs(): number {
+    return this.baselineStep.value;
   }
 
-  /** Time to first token at p99 without batch work, in milliseconds. */
-  get aloneFirstTokenMs(): number {
-    return this.aloneFirst.value;
+  /** The p99 of the time to first token without batch work, in milliseconds. */
+  get baselineFirstTokenMs(): number {
+    return this.baselineFirstToken.value;
   }
 
-  /** Quantiles of the time between tokens, the p99 last, without batch work. */
-  get aloneSteps(): readonly number[] {
-    return this.aloneStep.values;
+  /**
+   * Quantiles of the time between tokens without batch work, ascending up to the
+   * p99, in milliseconds.
+   */
+  get baselineStepQuantiles(): readonly number[] {
+    return this.baselineStep.values;
   }
 
-  /** Quantiles of the time to first token, the p99 last, without batch work. */
-  get aloneFirstTokens(): readonly number[] {
-    return this.aloneFirst.values;
+  /**
+   * Quantiles of the time to first token without batch work, ascending up to the
+   * p99, in milliseconds.
+   */
+  get baselineFirstTokenQuantiles(): readonly number[] {
+    return this.baselineFirstToken.values;
   }
 
-  /** Ratio of the time between tokens at p99 to that without batch work. */
-  get stepHarm(): number {
-    return ratio(this.actualStep.value, this.aloneStep.value);
+  /** Ratio of the p99 of the time between tokens to its baseline. */
+  get stepSlowdown(): number {
+    return slowdown(this.actualStep.value, this.baselineStep.value);
   }
 
-  /** Ratio of the time to first token at p99 to that without batch work. */
-  get firstTokenHarm(): number {
-    return ratio(this.actualFirst.value, this.aloneFirst.value);
+  /** Ratio of the p99 of the time to first token to its baseline. */
+  get firstTokenSlowdown(): number {
+    return slowdown(this.actualFirstToken.value, this.baselineFirstToken.value);
   }
 
   /**
-   * How many online streams would be decoding without batch work. Streams that
-   * are slowed down last longer, so more of them run at a time; by how much
-   * longer each lasts, as much less it counts.
+   * Estimates how many online streams would be decoding without batch work.
+   * Streams that are slowed down last longer, so more of them run concurrently.
+   * Each stream is therefore weighted by the inverse of its slowdown.
    *
-   * @returns The streams, in fractions.
+   * @returns The number of streams, including fractions.
    */
-  aloneStreams(): number {
+  baselineStreams(): number {
     let streams = 0;
-    for (const {actualMs, aloneMs} of this.decoding.values()) {
-      const actual = this.spent.actualMs - actualMs;
-      streams += actual > 0 ? (this.spent.aloneMs - aloneMs) / actual : 1;
+    for (const {actualMs, baselineMs} of this.startTimes.values()) {
+      const actual = this.elapsed.actualMs - actualMs;
+      streams +=
+        actual > 0 ? (this.elapsed.baselineMs - baselineMs) / actual : 1;
     }
     return streams;
   }
 
-  /** @param step - What one step was like. */
+  /**
+   * Records one step.
+   *
+   * @param step - The measured step.
+   */
   step(step: MeasuredStep): void {
     const {durationMs, onlineTokens} = step;
-    const alone = Math.min(durationMs, step.aloneMs);
+    const baselineMs = Math.min(durationMs, step.baselineMs);
     if (onlineTokens > 0) {
       this.actualStep.record(durationMs, onlineTokens);
-      this.aloneStep.record(alone, onlineTokens);
-      this.spend(onlineTokens, durationMs > step.limitMs);
-      this.spent.actualMs += durationMs;
-      this.spent.aloneMs += alone;
+      this.baselineStep.record(baselineMs, onlineTokens);
+      this.updateErrorBudget(onlineTokens, durationMs > step.limitMs);
+      this.elapsed.actualMs += durationMs;
+      this.elapsed.baselineMs += baselineMs;
     }
   }
 
   /**
-   * A p99 stands while no more than one token in a hundred is later, whichever
-   * those are: what online work itself does not use up is left for batch.
+   * Updates the error budget. The p99 holds while at most one token in a hundred
+   * is later, whichever tokens those are. The late tokens that online work does
+   * not cause itself are therefore available to batch work.
    */
-  private spend(tokens: number, late: boolean): void {
-    const earned = (1 - TAIL) * OVERRUN_SHARE * tokens;
-    const left = this.lateTokens + earned - (late ? tokens : 0);
-    this.lateTokens = Math.max(-MAX_CREDIT, Math.min(MAX_CREDIT, left));
+  private updateErrorBudget(tokens: number, late: boolean): void {
+    const earned = (1 - TAIL_QUANTILE) * ERROR_BUDGET_SHARE * tokens;
+    const left = this.errorBudgetTokens + earned - (late ? tokens : 0);
+    this.errorBudgetTokens = Math.max(
+      -MAX_ERROR_BUDGET_TOKENS,
+      Math.min(MAX_ERROR_BUDGET_TOKENS, left),
+    );
   }
 
   /**
-   * @param id - An online request that came in.
-   * @param need - What it needs of an engine alone.
-   * @param now - Milliseconds.
+   * Records the arrival of an online request.
+   *
+   * @param id - The id of the request.
+   * @param demand - Its cost to an engine without batch work.
+   * @param now - Time in milliseconds.
    */
-  arrived(id: string, need: AloneNeed, now: number): void {
-    this.queue.arrived(id, need, now);
+  arrived(id: string, demand: BaselineDemand, now: number): void {
+    this.baselineQueue.arrived(id, demand, now);
   }
 
   /**
-   * @param id - An online request that got its first token.
-   * @param elapsedMs - How long that took.
+   * Records the first token of an online request.
+   *
+   * @param id - The id of the request.
+   * @param elapsedMs - Time since its arrival, in milliseconds.
    */
   firstToken(id: string, elapsedMs: number): void {
-    const alone = this.queue.firstToken(id);
-    if (alone === undefined) return;
-    this.decoding.set(id, {...this.spent});
-    this.actualFirst.record(elapsedMs);
-    this.aloneFirst.record(Math.min(elapsedMs, alone));
+    const baselineMs = this.baselineQueue.firstToken(id);
+    if (baselineMs === undefined) return;
+    this.startTimes.set(id, {...this.elapsed});
+    this.actualFirstToken.record(elapsedMs);
+    this.baselineFirstToken.record(Math.min(elapsedMs, baselineMs));
   }
 
-  /** @param id - An online request that ended. */
-  gone(id: string): void {
-    this.decoding.delete(id);
-    this.queue.gone(id);
+  /**
+   * Records the end of an online request.
+   *
+   * @param id - The id of the request.
+   */
+  ended(id: string): void {
+    this.startTimes.delete(id);
+    this.baselineQueue.ended(id);
   }
 }
 
-function ratio(actual: number, alone: number): number {
-  return alone > 0 ? actual / alone : 1;
+function slowdown(actual: number, baseline: number): number {
+  return baseline > 0 ? actual / baseline : 1;
 }
--- a/packages/core/src/lib/process/latency_limit.ts
+++ b/packages/core/src/lib/process/latency_limit.ts
@@ -1,28 +1,37 @@
 /**
- * Admission to a plain service, which has no tokens: a bound on calls at once
- * that follows the measured latency. While calls take about as long as when few
- * run, the bound grows; when they take clearly longer, they queue inside the
- * service and the bound shrinks.
+ * An adaptive concurrency limit for a plain service, which streams no tokens to
+ * measure. The limit follows the measured latency: it grows while calls take
+ * about as long as under low load, and shrinks when they take much longer, which
+ * means that they are queued inside the service.
  */
 
-const GROWTH = 1;
-const SHRINK = 0.7;
-/** Latency beyond this multiple of the least one means queueing. */
-const TOLERANCE = 2;
-const SMOOTHING = 0.1;
-/** The least latency creeps up, so that a slower service is learnt. */
-const LEAST_CREEP = 1.00001;
-const FIRST_LIMIT = 16;
+/** Growth of the limit per `limit` calls (additive increase). */
+const LIMIT_INCREASE = 1;
+/** Factor on the limit per `limit` calls (multiplicative decrease). */
+const LIMIT_DECREASE = 0.7;
+/**
+ * A mean latency beyond this multiple of the minimum latency indicates queueing
+ * inside the service.
+ */
+const QUEUEING_RATIO = 2;
+/** Weight of the newest call in the mean latency. */
+const MEAN_SMOOTHING = 0.1;
+/**
+ * Factor by which the minimum latency rises per call, so that it adapts to a
+ * service that has become slower.
+ */
+const MIN_LATENCY_DRIFT = 1.00001;
+const INITIAL_LIMIT = 16;
 
-/** Bounds calls at once by their latency. */
-export class LatencyLimit {
-  private limit = FIRST_LIMIT;
-  private least = Number.POSITIVE_INFINITY;
-  private mean = 0;
+/** Bounds concurrent calls by their latency. */
+export class ConcurrencyLimit {
+  private limit = INITIAL_LIMIT;
+  private minLatencyMs = Number.POSITIVE_INFINITY;
+  private meanLatencyMs = 0;
 
   /**
-   * @param maxCalls - Upper bound, as declared.
-   * @returns Calls that may run at once.
+   * @param maxCalls - The configured upper bound.
+   * @returns The number of calls that may run concurrently, at least 1.
    */
   capacity(maxCalls: number): number {
     return Math.max(1, Math.min(Math.floor(this.limit), maxCalls));
@@ -30,23 +39,31 @@
 
   /** Mean latency, in milliseconds; 0 before the first call. */
   get meanMs(): number {
-    return this.mean;
+    return this.meanLatencyMs;
   }
 
   /**
-   * @param latencyMs - How long a call took.
-   * @param runningThen - How many ran beside it.
-   * @param maxCalls - Upper bound, as declared.
+   * Adjusts the limit after a call.
+   *
+   * @param latencyMs - Latency of the call, in milliseconds.
+   * @param concurrentCalls - Number of calls that ran when it ended, including
+   *     it.
+   * @param maxCalls - The configured upper bound.
    */
-  ended(latencyMs: number, runningThen: number, maxCalls: number): void {
-    this.least = Math.min(this.least * LEAST_CREEP, latencyMs);
-    this.mean += (latencyMs - this.mean) * (this.mean === 0 ? 1 : SMOOTHING);
-    if (this.mean > this.least * TOLERANCE) {
-      this.limit = Math.max(1, this.limit * SHRINK ** (1 / this.limit));
+  ended(latencyMs: number, concurrentCalls: number, maxCalls: number): void {
+    this.minLatencyMs = Math.min(
+      this.minLatencyMs * MIN_LATENCY_DRIFT,
+      latencyMs,
+    );
+    this.meanLatencyMs +=
+      (latencyMs - this.meanLatencyMs) *
+      (this.meanLatencyMs === 0 ? 1 : MEAN_SMOOTHING);
+    if (this.meanLatencyMs > this.minLatencyMs * QUEUEING_RATIO) {
+      this.limit = Math.max(1, this.limit * LIMIT_DECREASE ** (1 / this.limit));
       return;
     }
-    const used = runningThen >= this.limit / 2;
-    if (used) this.limit += GROWTH / this.limit;
+    const used = concurrentCalls >= this.limit / 2;
+    if (used) this.limit += LIMIT_INCREASE / this.limit;
     this.limit = Math.min(this.limit, maxCalls);
   }
 }
--- a/packages/core/src/lib/process/load_report.ts
+++ b/packages/core/src/lib/process/load_report.ts
@@ -1,36 +1,46 @@
-/** What a target process tells its entries about itself. */
+/** The load report that a target process sends to entry processes. */
 
-/** A model version that a target can serve right now, or is loading. */
+/** A version that a target serves, loads or unloads, or failed to load. */
 export interface ServedVersion {
-  /** The model or plain service. */
+  /** Name of the model or plain service. */
   readonly pool: string;
   readonly version: string;
   readonly adapters: readonly string[];
   readonly state: 'loading' | 'ready' | 'unloading' | 'failed';
 }
 
-/** Load as of now; every number is the target process's own count. */
+/**
+ * Current load of a target. All counts are those of the target process, not of
+ * its engine.
+ */
 export interface LoadReport {
   readonly targetId: string;
   readonly dataCentre: string;
-  /** Counts up with each report of one boot; an older one is ignored. */
+  /**
+   * Increases with each report of one process start. Receivers ignore reports
+   * with a lower number than the last one.
+   */
   readonly sequence: number;
-  /** Takes no new work. */
+  /** Whether the target is draining and accepts no new work. */
   readonly leaving: boolean;
   readonly cfgRevision: number;
   readonly versions: readonly ServedVersion[];
   readonly onlineRunning: number;
   readonly onlineQueued: number;
-  /** Online requests that may run at once, as measured now. */
+  /** Online requests that may run concurrently, by current measurements. */
   readonly onlineCapacity: number;
   readonly batchRunning: number;
   readonly batchQueued: number;
-  /** Further batch items that the target would take now. */
+  /** Further batch items that the target would accept now. */
   readonly batchRoom: number;
-  /** Tokens still to be prefilled, of all running requests. */
+  /** Prompt tokens of running online requests still to be prefilled. */
   readonly prefillTokens: number;
-  /** Measured time of one engine step, in milliseconds. */
+  /**
+   * Predicted duration of one engine step with the current online streams, or
+   * mean latency of a plain service, in milliseconds. Over several backends, the
+   * maximum.
+   */
   readonly stepMs: number;
-  /** The engine does not answer. */
+  /** Whether the engine is unresponsive. */
   readonly engineDown: boolean;
 }
--- a/packages/core/src/lib/process/memoized_step.ts
+++ b/packages/core/src/lib/process/memoized_step.ts
@@ -1,20 +1,23 @@
 /**
- * Cheap steps of machines without context. A step of xstate takes some 35 µs,
- * so cancelling 61,000 items in one turn would hold up the event loop for two
- * seconds. Such a machine is a finite table: each cell is worked out by xstate
- * the first time it is needed, and looked up from then on.
+ * Memoized transitions of state machines without context. A transition in xstate
+ * takes about 35 µs, so cancelling 61,000 items in one turn would block the
+ * event loop for two seconds. Such a machine is a finite transition table:
+ * xstate computes each entry when it is first needed, and later transitions look
+ * it up.
  */
 
-/** A step of a machine: the state after an event. */
+/** The transition function of a state machine. */
 export type Step<State extends string, Event> = (
   state: State,
   event: Event,
 ) => State;
 
 /**
- * @param step - A pure step. Its events hold a type and a few booleans, so
- *     that the table stays small.
- * @returns The same step, each cell worked out once.
+ * Memoizes a transition function.
+ *
+ * @param step - A pure transition function. Its events hold only a type and a
+ *     few booleans, so that the table stays small.
+ * @returns The same function, which computes each transition once.
  */
 export function memoizedStep<State extends string, Event>(
   step: Step<State, Event>,
--- a/packages/core/src/lib/process/online_gate.ts
+++ b/packages/core/src/lib/process/online_gate.ts
@@ -1,7 +1,8 @@
 /**
- * How much online work an engine takes at once, as measured: as many streams as
- * keep the step within the aim between tokens, as many prompt tokens as can be
- * prefilled within the aim for the first token, and what its memory holds.
+ * Bounds the concurrent online work of an engine by measurements: by the streams
+ * that keep a step within the latency objective between tokens, by the prompt
+ * tokens that can be prefilled within the latency objective for the first token,
+ * and by the memory of the engine.
  */
 import type {AdmissionRequest} from './admission.js';
 import type {EngineLoad} from './engine_client.js';
@@ -9,132 +10,155 @@
 import type {StepModel} from './step_model.js';
 import type {PoolConfig} from '../version/target_config.js';
 
-/** Streams that an engine takes before it was measured. */
-const FIRST_CAPACITY = 8;
-/** How far beyond the streams seen so far the model is believed. */
-const TRUST_FACTOR = 1.5;
-/** Share of the engine's memory that online work may fill. */
+/** Concurrent streams of an engine without measurements. */
+const INITIAL_CAPACITY = 8;
+/**
+ * Largest extrapolation of the step model, as a multiple of the number of
+ * streams observed so far.
+ */
+const EXTRAPOLATION_FACTOR = 1.5;
+/** Share of the engine's KV cache memory that online work may fill. */
 const KV_SHARE = 0.95;
-const RATE_FORGETTING = 0.98;
-/** Steps in a row that tell that an engine is full. */
-const STALLED_STEPS = 3;
-const CEILING_RETRY_MS = 60_000;
+/** Weight that past run durations keep at each new one. */
+const DURATION_DECAY = 0.98;
+/** Consecutive stalled steps after which an engine counts as full. */
+const FULL_STALLED_STEPS = 3;
+/** Interval at which the detected stream limit is raised by one. */
+const STREAM_LIMIT_PROBE_MS = 60_000;
 
-/** Bounds online work at the engine. */
-export class OnlineGate {
+/** Admits online requests to one engine. */
+export class OnlineLimiter {
   private lastLoad: EngineLoad | undefined;
-  private ceiling = Number.POSITIVE_INFINITY;
-  private ceilingAt = 0;
+  private detectedStreamLimit = Number.POSITIVE_INFINITY;
+  private streamLimitSetAt = 0;
   private stalledSteps = 0;
-  private busyMs = 0;
+  private decayedDurationMs = 0;
   private ended = 0;
 
   /**
-   * @param model - The engine's step time.
-   * @param running - What the engine has.
+   * @param model - Predicts the step durations of the engine.
+   * @param running - The requests at the engine.
    */
   constructor(
     private readonly model: StepModel,
     private readonly running: RunningSet,
   ) {}
 
-  /** The engine's own last report; it lags. */
+  /** The engine's last own load report; it lags. */
   get load(): EngineLoad | undefined {
     return this.lastLoad;
   }
 
-  /** Streams that the engine runs at once; infinite while not known. */
-  get streamCeiling(): number {
-    return this.ceiling;
+  /**
+   * Detected maximum number of streams that the engine runs concurrently;
+   * infinite while unknown.
+   */
+  get streamLimit(): number {
+    return this.detectedStreamLimit;
   }
 
-  /** @param load - The engine's own report. */
+  /** @param load - The engine's own load report. */
   report(load: EngineLoad): void {
     this.lastLoad = load;
   }
 
   /**
-   * Looks at one step: an engine that left requests waiting, and prefilled
-   * nothing, has no place for more streams. Neither its limit nor its queue is
-   * told in time, and an online request behind that queue would wait long.
+   * Updates the detected stream limit after a step. An engine that left requests
+   * waiting and prefilled nothing has no free slot. It does not report its limit
+   * or its queue in time, and an online request behind that queue would wait
+   * long.
    *
-   * @param stalled - Whether it did so in this step.
-   * @param streams - How many got a token.
-   * @param now - Milliseconds.
+   * @param stalled - Whether requests waited and the step prefilled nothing.
+   * @param streams - Number of streams that got a token in the step.
+   * @param now - Time in milliseconds.
    */
-  watchCeiling(stalled: boolean, streams: number, now: number): void {
+  updateStreamLimit(stalled: boolean, streams: number, now: number): void {
     this.stalledSteps = stalled ? this.stalledSteps + 1 : 0;
-    if (this.stalledSteps >= STALLED_STEPS && this.mayQueue) {
-      this.ceiling = Math.max(1, streams);
-      this.ceilingAt = now;
+    if (this.stalledSteps >= FULL_STALLED_STEPS && this.mayHaveQueue) {
+      this.detectedStreamLimit = Math.max(1, streams);
+      this.streamLimitSetAt = now;
       return;
     }
-    // The engine may have been changed: now and then one more is tried.
-    if (now - this.ceilingAt < CEILING_RETRY_MS) return;
-    this.ceiling += 1;
-    this.ceilingAt = now;
+    // The engine may have been reconfigured, so one more stream is probed.
+    if (now - this.streamLimitSetAt < STREAM_LIMIT_PROBE_MS) return;
+    this.detectedStreamLimit += 1;
+    this.streamLimitSetAt = now;
   }
 
   /**
-   * A stream without a token for some steps may wait inside the engine, or its
-   * connection was slow to open. Taken for the first, the second closed a target
-   * to almost all online work for many minutes. An engine that says that
-   * nothing waits in it is believed.
+   * Whether the engine may have a queue. A stream without a token for some steps
+   * may be queued inside the engine, or its connection may have been slow to
+   * open. If a slow connection is mistaken for a queue, the target refuses
+   * almost all online work for many minutes. A report of the engine that nothing
+   * is queued is therefore trusted.
    */
-  private get mayQueue(): boolean {
+  private get mayHaveQueue(): boolean {
     return this.lastLoad === undefined || this.lastLoad.waiting > 0;
   }
 
-  /** Size of the engine's memory in tokens; infinite where not known. */
-  get memory(): number {
+  /** Size of the engine's KV cache in tokens; infinite if unknown. */
+  get memoryTokens(): number {
     const total = this.lastLoad?.kvTokensTotal ?? 0;
     return total > 0 ? total : Number.POSITIVE_INFINITY;
   }
 
   /**
-   * @param cfg - The pool.
-   * @returns Online requests that may run at once.
+   * @param cfg - The configuration of the pool.
+   * @returns The number of online requests that may run concurrently, at least 1
+   *     once measured.
    */
   capacity(cfg: PoolConfig): number {
-    if (!this.model.ready) return Math.min(FIRST_CAPACITY, cfg.maxOnline);
-    const within = this.model.streamsWithin(cfg.betweenTokensMs);
-    const trusted = Math.max(
-      FIRST_CAPACITY,
-      Math.ceil(this.model.largestSeen * TRUST_FACTOR),
+    if (!this.model.ready) return Math.min(INITIAL_CAPACITY, cfg.maxOnline);
+    const byLatency = this.model.streamsWithin(cfg.betweenTokensMs);
+    const byObservation = Math.max(
+      INITIAL_CAPACITY,
+      Math.ceil(this.model.maxObservedStreams * EXTRAPOLATION_FACTOR),
+    );
+    const most = Math.min(
+      byLatency,
+      byObservation,
+      cfg.maxOnline,
+      this.detectedStreamLimit,
     );
-    const most = Math.min(within, trusted, cfg.maxOnline, this.ceiling);
     return Math.max(1, most);
   }
 
   /**
    * @param request - An online request.
-   * @param cfg - Its pool.
-   * @returns Whether the engine can take it now, batch work left aside.
+   * @param cfg - The configuration of its pool.
+   * @returns Whether the engine can take the request now. Batch work is ignored,
+   *     because it can be preempted.
    */
   admits(request: AdmissionRequest, cfg: PoolConfig): boolean {
     const {online} = this.running;
     if (online.running === 0) return true;
     if (online.running >= this.capacity(cfg)) return false;
     const kv = online.kvAtEnd + request.promptTokens + request.maxTokens;
-    if (kv > this.memory * KV_SHARE) return false;
-    const prefill = online.prefillTokens * this.model.perPrefillToken;
-    return prefill <= cfg.firstTokenMs;
+    if (kv > this.memoryTokens * KV_SHARE) return false;
+    const prefillMs = online.prefillTokens * this.model.msPerPrefillToken;
+    return prefillMs <= cfg.firstTokenMs;
   }
 
-  /** @param durationMs - How long an online request ran. */
+  /**
+   * Records a completed online request.
+   *
+   * @param durationMs - How long it ran, in milliseconds.
+   */
   finished(durationMs: number): void {
-    this.busyMs = this.busyMs * RATE_FORGETTING + durationMs;
-    this.ended = this.ended * RATE_FORGETTING + 1;
+    this.decayedDurationMs =
+      this.decayedDurationMs * DURATION_DECAY + durationMs;
+    this.ended = this.ended * DURATION_DECAY + 1;
   }
 
   /**
-   * @param ahead - How many wait already.
-   * @param cfg - The pool.
-   * @returns How long another one would wait, in milliseconds.
+   * @param ahead - Number of requests queued ahead.
+   * @param cfg - The configuration of the pool.
+   * @returns The expected wait of the next queued request, in milliseconds; 0
+   *     while no request has completed.
    */
-  expectedWait(ahead: number, cfg: PoolConfig): number {
+  expectedWaitMs(ahead: number, cfg: PoolConfig): number {
     if (this.ended === 0) return 0;
-    const meanMs = this.busyMs / this.ended;
+    const meanMs = this.decayedDurationMs / this.ended;
     return ((ahead + 1) * meanMs) / this.capacity(cfg);
   }
 }
--- a/packages/core/src/lib/process/order.ts
+++ b/packages/core/src/lib/process/order.ts
@@ -1,16 +1,19 @@
-/** Orders to engines: load or unload a version or adapter, or change role. */
+/**
+ * Orders to engines: to load or unload a model version or adapter, or to change
+ * the role of the engine.
+ */
 import type {Refusal} from '../request/refusal.js';
 
 /**
- * Orders of one holder, told from those of an earlier one: a higher token is a
- * later holder.
+ * A fencing token. Orders of a superseded holder are told apart from those of
+ * the current one by the token, which increases with each new holder.
  */
 export interface Fence {
   readonly token: number;
   readonly holder: string;
 }
 
-/** What is to be done. */
+/** The action that an order asks for. */
 export type OrderAction =
   | {
       readonly kind: 'load-version';
@@ -34,23 +37,28 @@
     }
   | {readonly kind: 'set-role'; readonly role: EngineRole};
 
-/** What an engine does: both phases, or one of them. */
+/** The phases that an engine runs: prefill, decode or both (`mixed`). */
 export type EngineRole = 'mixed' | 'prefill' | 'decode';
 
-/** An order with its fence. */
+/** An order and its fencing token. */
 export interface Order {
   readonly id: string;
   readonly fence: Fence;
   readonly action: OrderAction;
 }
 
-/** Whether an order was taken. */
+/** Whether an order was accepted. */
 export type OrderOutcome =
   | {readonly kind: 'taken'}
   | {readonly kind: 'refused'; readonly refusal: Refusal};
 
 /**
- * Who checks the fence of an order at a target: its engine, the target process
- * in its place, or nobody but the target process with no memory of it.
+ * Which component rejects orders of a superseded holder at a target.
+ *
+ * - `fenced`: the engine itself.
+ * - `unfenced`: the target process in place of the engine. It accepts no order
+ *   until it has learned the token of the current holder.
+ * - `unchecked`: the target process, but only against the highest token that it
+ *   has seen since its start.
  */
 export type FenceCheck = 'fenced' | 'unfenced' | 'unchecked';
--- a/packages/core/src/lib/process/prompt_cache.ts
+++ b/packages/core/src/lib/process/prompt_cache.ts
@@ -1,97 +1,123 @@
 /**
- * What an engine has cached of requests that were there lately: streams that
- * were preempted and prompts that were prefilled in pieces go on cheaply.
+ * Estimates which prefixes of recent requests an engine still has in its prefix
+ * cache. Preempted streams and prompts that are prefilled in chunks resume
+ * cheaply from there.
  */
 import {LRUCache} from 'lru-cache';
 import type {AdmissionRequest} from './admission.js';
-import {MISS_TOKENS} from './running_set.js';
+import {CACHE_MISS_TOKENS} from './running_set.js';
 
-/** Engines cache whole blocks; of a common size, for larger ones divide it. */
+/**
+ * Block size to which cached prefixes are rounded down, in tokens. Engines cache
+ * whole blocks, and this is a multiple of the common block sizes.
+ */
 export const BLOCK_TOKENS = 64;
-/** Requests that are kept in mind. */
-const MAX_REQUESTS = 256;
+/** Number of requests that are tracked. */
+const MAX_TRACKED_REQUESTS = 256;
 /**
- * An engine evicts what was used least lately. Its cache is taken to hold what
- * was computed since, up to this share of its memory: believing that something
- * is cached that is not costs a long step.
+ * Upper bound of the retention, as a share of the engine's KV cache memory. An
+ * engine evicts the least recently used blocks. A prefix is assumed to be cached
+ * until the engine has computed as many tokens since as the retention. The bound
+ * is conservative, because a wrong assumption causes a long step.
  */
-const TRUSTED_SHARE = 0.35;
-const TRUSTED_TOKENS = 16_000;
-const MISS_SHRINK = 0.7;
-const HIT_GROWTH = 1.002;
+const MAX_RETENTION_SHARE = 0.35;
+/** Initial retention, and its upper bound while the memory is unknown. */
+const INITIAL_RETENTION_TOKENS = 16_000;
+/** Factors on the retention after a step with and without a cache miss. */
+const RETENTION_DECREASE = 0.7;
+const RETENTION_INCREASE = 1.002;
 
-interface Kept {
+interface CachedPrefix {
   readonly tokens: number;
-  /** Tokens that the engine had computed by then. */
-  readonly computed: number;
+  /** Total tokens computed by the engine when the prefix was recorded. */
+  readonly computedBefore: number;
 }
 
 /**
- * @param tokens - Tokens.
- * @returns Tokens of the whole blocks in them.
+ * @param tokens - A number of tokens.
+ * @returns The number of tokens in its whole cache blocks.
  */
-export function wholeBlocks(tokens: number): number {
+export function roundDownToBlocks(tokens: number): number {
   return Math.floor(tokens / BLOCK_TOKENS) * BLOCK_TOKENS;
 }
 
-/** Estimates what is left to prefill. */
-export class PromptCache {
-  private readonly kept = new LRUCache<string, Kept>({max: MAX_REQUESTS});
-  private computed = 0;
-  private most = TRUSTED_TOKENS;
-  private trusted = TRUSTED_TOKENS;
+/** Models the prefix cache of one engine. */
+export class PrefixCacheModel {
+  private readonly kept = new LRUCache<string, CachedPrefix>({
+    max: MAX_TRACKED_REQUESTS,
+  });
+  private computedTokens = 0;
+  private maxRetention = INITIAL_RETENTION_TOKENS;
+  private retention = INITIAL_RETENTION_TOKENS;
 
-  /** @param tokens - Size of the engine's memory. */
-  setMemory(tokens: number): void {
-    if (tokens > 0) this.most = tokens * TRUSTED_SHARE;
+  /**
+   * @param tokens - Size of the engine's KV cache memory, in tokens; 0 if
+   *     unknown.
+   */
+  setMemoryTokens(tokens: number): void {
+    if (tokens > 0) this.maxRetention = tokens * MAX_RETENTION_SHARE;
   }
 
   /**
-   * Learns how much the engine's cache holds.
+   * Adjusts the retention after a step.
    *
-   * @param unexpected - Tokens that it prefilled in a step beyond what was
-   *     thought to be left.
+   * @param unexpectedTokens - Tokens that the engine prefilled in the step beyond
+   *     the estimated remainder of all prompts.
    */
-  check(unexpected: number): void {
-    const missed = unexpected > MISS_TOKENS;
-    const trusted = this.trusted * (missed ? MISS_SHRINK : HIT_GROWTH);
-    this.trusted = Math.max(BLOCK_TOKENS, Math.min(this.most, trusted));
+  adjustRetention(unexpectedTokens: number): void {
+    const missed = unexpectedTokens > CACHE_MISS_TOKENS;
+    const retention =
+      this.retention * (missed ? RETENTION_DECREASE : RETENTION_INCREASE);
+    this.retention = Math.max(
+      BLOCK_TOKENS,
+      Math.min(this.maxRetention, retention),
+    );
   }
 
-  /** What was computed since, in tokens, before something is evicted. */
-  get trustedTokens(): number {
-    return this.trusted;
+  /**
+   * Number of tokens that the engine computes before it is assumed to evict a
+   * prefix.
+   */
+  get retentionTokens(): number {
+    return this.retention;
   }
 
-  /** @param tokens - Tokens that the engine computed. */
-  add(tokens: number): void {
-    this.computed += tokens;
+  /** @param tokens - Further tokens that the engine has computed. */
+  recordComputed(tokens: number): void {
+    this.computedTokens += tokens;
   }
 
   /**
-   * @param id - A request.
-   * @returns Tokens of it that are cached, from its beginning.
+   * @param id - The id of a request.
+   * @returns The estimated length of its cached prefix, in tokens.
    */
-  of(id: string): number {
-    const kept = this.kept.get(id);
-    if (kept === undefined) return 0;
-    return this.computed - kept.computed > this.trusted ? 0 : kept.tokens;
+  cachedTokens(id: string): number {
+    const prefix = this.kept.get(id);
+    if (prefix === undefined) return 0;
+    return this.computedTokens - prefix.computedBefore > this.retention
+      ? 0
+      : prefix.tokens;
   }
 
   /**
-   * @param id - A request that left the engine.
-   * @param tokens - Tokens of it that were computed, prompt and generated.
+   * Records the prefix of a request that left the engine.
+   *
+   * @param id - The id of the request.
+   * @param tokens - Number of its prompt and output tokens that were computed.
    */
-  keep(id: string, tokens: number): void {
-    const kept = {tokens: wholeBlocks(tokens), computed: this.computed};
-    this.kept.set(id, kept);
+  recordCached(id: string, tokens: number): void {
+    const prefix = {
+      tokens: roundDownToBlocks(tokens),
+      computedBefore: this.computedTokens,
+    };
+    this.kept.set(id, prefix);
   }
 
   /**
-   * @param request - What is to start.
-   * @returns Tokens that have to be prefilled, at least 1.
+   * @param request - A request that is to start.
+   * @returns The estimated number of tokens to prefill, at least 1.
    */
-  left({id, promptTokens, resumedTokens}: AdmissionRequest): number {
-    return Math.max(1, promptTokens + resumedTokens - this.of(id));
+  tokensToPrefill({id, promptTokens, resumedTokens}: AdmissionRequest): number {
+    return Math.max(1, promptTokens + resumedTokens - this.cachedTokens(id));
   }
 }
--- a/packages/core/src/lib/process/recent_quantile.ts
+++ b/packages/core/src/lib/process/recent_quantile.ts
@@ -1,10 +1,11 @@
 /**
- * Quantiles of what was measured lately: two HDR histograms, of which the older
- * is dropped when the newer is full of samples.
+ * Quantiles over a window of recent samples. The window consists of two HDR
+ * histograms; the older one is dropped when the newer one is full.
  */
 import {build} from 'hdr-histogram-js';
 import type {Histogram} from 'hdr-histogram-js';
 
+/** The histograms count in microseconds. */
 const UNITS_PER_MS = 1000;
 const SIGNIFICANT_DIGITS = 3;
 
@@ -18,18 +19,19 @@
   });
 }
 
-/** Quantiles of the last samples, of durations in milliseconds. */
-export class RecentQuantile {
+/** Quantiles of recent durations, in milliseconds. */
+export class RecentQuantiles {
   private newer = emptyHistogram();
   private older = emptyHistogram();
   private cached: readonly number[] = [];
-  private sinceCached = 0;
+  private samplesSinceRefresh = 0;
 
   /**
-   * @param quantiles - Which, from 0 to 1, in ascending order.
-   * @param windowSamples - Samples after which older ones are dropped.
-   * @param refreshSamples - Samples after which the quantiles are worked out
-   *     again.
+   * @param quantiles - The quantiles to compute, from 0 to 1, ascending.
+   * @param windowSamples - Number of samples per histogram. The quantiles cover
+   *     between one and two times as many.
+   * @param refreshSamples - Number of new samples after which the quantiles are
+   *     computed again.
    */
   constructor(
     private readonly quantiles: readonly number[],
@@ -37,19 +39,21 @@
     private readonly refreshSamples: number,
   ) {}
 
-  /** How many samples stand behind the value. */
+  /** Number of samples in the window. */
   get samples(): number {
     return this.newer.totalCount + this.older.totalCount;
   }
 
   /**
-   * @param durationMs - A measured duration.
-   * @param count - How many times it was measured.
+   * Records samples.
+   *
+   * @param durationMs - A duration, in milliseconds.
+   * @param count - Number of samples with this duration.
    */
   record(durationMs: number, count = 1): void {
     const units = Math.max(1, Math.round(durationMs * UNITS_PER_MS));
     this.newer.recordValueWithCount(units, count);
-    this.sinceCached += count;
+    this.samplesSinceRefresh += count;
     if (this.newer.totalCount < this.windowSamples) return;
     this.older = this.newer;
     this.newer = emptyHistogram();
@@ -57,11 +61,14 @@
 
   /** The quantiles, in milliseconds; empty before the first sample. */
   get values(): readonly number[] {
-    if (this.sinceCached < this.refreshSamples && this.cached.length > 0) {
+    if (
+      this.samplesSinceRefresh < this.refreshSamples &&
+      this.cached.length > 0
+    ) {
       return this.cached;
     }
-    this.sinceCached = 0;
-    this.cached = this.measure();
+    this.samplesSinceRefresh = 0;
+    this.cached = this.compute();
     return this.cached;
   }
 
@@ -70,7 +77,7 @@
     return this.values.at(-1) ?? 0;
   }
 
-  private measure(): readonly number[] {
+  private compute(): readonly number[] {
     if (this.samples === 0) return [];
     const all = emptyHistogram();
     all.add(this.newer);
--- a/packages/core/src/lib/process/running_set.ts
+++ b/packages/core/src/lib/process/running_set.ts
@@ -1,50 +1,54 @@
 /**
- * What runs at the engine, with the tallies that admission decides by kept up
- * to date, so that no decision walks over the streams.
+ * The requests at an engine or service. The totals that scheduling decisions use
+ * are updated incrementally, so that no decision iterates over the streams.
  */
 import type {AdmissionRequest} from './admission.js';
 import type {ServeClass} from '../request/serve.js';
 
-/** Prefill that nothing explains, in tokens: something was not cached. */
-export const MISS_TOKENS = 128;
+/**
+ * Prefill beyond the estimate, in tokens, that indicates a miss in the engine's
+ * prefix cache.
+ */
+export const CACHE_MISS_TOKENS = 128;
 
-/** A request at the engine. */
-export interface Running {
+/** A request at the engine or service. */
+export interface RunningRequest {
   readonly request: AdmissionRequest;
+  /** Time at which it was sent to the engine, in milliseconds. */
   readonly startedAt: number;
-  /** When it came in, before any wait. */
+  /** Arrival time before any queueing, in milliseconds. */
   readonly arrivedAt: number;
-  /** Counts starts; a higher one started later. */
-  readonly order: number;
-  /** Tokens that had to be prefilled, as estimated. */
+  /** Sequence number of the start. */
+  readonly startOrder: number;
+  /** Estimated number of tokens to prefill at the start. */
   readonly prefillTokens: number;
-  /** Tokens that are still to be prefilled, as estimated. */
+  /** Estimated number of tokens still to be prefilled. */
   prefillLeft: number;
-  /** Its tokens to prefill were estimated anew. */
-  corrected: boolean;
-  /** Still prefilling its prompt. */
+  /** Whether the estimate was corrected for an assumed cache miss. */
+  missAssumed: boolean;
+  /** Whether its first token is still outstanding. */
   prefilling: boolean;
-  /** Tokens generated here. */
+  /** Tokens generated in this run. */
   generated: number;
-  /** Told to stop; the engine has not said yet that it did. */
+  /** Whether it was told to stop, which the engine has not confirmed yet. */
   stopping: boolean;
 }
 
-/** Tallies of one class. */
-export interface Tally {
-  /** Requests that are to stay. */
+/** Totals over the requests of one class, without those that are stopping. */
+export interface ClassTotals {
+  /** Number of requests. */
   running: number;
-  /** Of them, those that get tokens. */
+  /** Number of requests that have got their first token. */
   decoding: number;
-  /** Prompt tokens not yet prefilled. */
+  /** Estimated tokens still to be prefilled. */
   prefillTokens: number;
-  /** Tokens in the engine's memory. */
+  /** Tokens in the engine's KV cache. */
   kvTokens: number;
-  /** Tokens in the engine's memory once all have run to their end. */
+  /** Tokens in the engine's KV cache once all requests reach their maximum. */
   kvAtEnd: number;
 }
 
-function emptyTally(): Tally {
+function emptyTotals(): ClassTotals {
   return {
     running: 0,
     decoding: 0,
@@ -54,79 +58,81 @@
   };
 }
 
-function promptOf(request: AdmissionRequest): number {
+function totalPromptTokens(request: AdmissionRequest): number {
   return request.promptTokens + request.resumedTokens;
 }
 
-/** Requests at the engine. */
+/** The requests at one engine or service. */
 export class RunningSet {
-  private readonly byId = new Map<string, Running>();
-  private readonly tallies: Readonly<Record<ServeClass, Tally>> = {
-    online: emptyTally(),
-    batch: emptyTally(),
+  private readonly byId = new Map<string, RunningRequest>();
+  private readonly totals: Readonly<Record<ServeClass, ClassTotals>> = {
+    online: emptyTotals(),
+    batch: emptyTotals(),
   };
-  private readonly prefilling = new Set<Running>();
+  private readonly prefilling = new Set<RunningRequest>();
   private started = 0;
 
-  /** How many the engine has, those that are stopping included. */
+  /** Number of requests, including those that are stopping. */
   get size(): number {
     return this.byId.size;
   }
 
-  /** Whether a batch prompt is being prefilled. */
-  get prefillsBatch(): boolean {
-    const {running, decoding} = this.tallies.batch;
+  /** Whether a batch request that is not stopping is being prefilled. */
+  get isPrefillingBatch(): boolean {
+    const {running, decoding} = this.totals.batch;
     return running > decoding;
   }
 
-  /** Whether any prompt is still being prefilled. */
-  get prefillsAny(): boolean {
+  /** Whether any request is being prefilled. */
+  get isPrefilling(): boolean {
     return this.prefilling.size > 0;
   }
 
-  /** Tallies of online requests. */
-  get online(): Readonly<Tally> {
-    return this.tallies.online;
+  /** Totals over the online requests. */
+  get online(): Readonly<ClassTotals> {
+    return this.totals.online;
   }
 
-  /** Tallies of batch work, without what is stopping. */
-  get batch(): Readonly<Tally> {
-    return this.tallies.batch;
+  /** Totals over the batch requests, without those that are stopping. */
+  get batch(): Readonly<ClassTotals> {
+    return this.totals.batch;
   }
 
   /**
-   * @param id - A request.
-   * @returns It, if the engine has it.
+   * @param id - The id of a request.
+   * @returns The request; undefined if the engine does not hold it.
    */
-  get(id: string): Running | undefined {
+  get(id: string): RunningRequest | undefined {
     return this.byId.get(id);
   }
 
-  /** @returns All, oldest first. */
-  all(): Iterable<Running> {
+  /** @returns All requests, oldest start first. */
+  all(): Iterable<RunningRequest> {
     return this.byId.values();
   }
 
   /**
-   * @param request - What is handed to the engine.
-   * @param arrivedAt - When it came in, in milliseconds.
-   * @param now - Milliseconds.
-   * @param prefillTokens - Tokens that have to be prefilled, as estimated.
+   * Adds a request that is sent to the engine.
+   *
+   * @param request - The request.
+   * @param arrivedAt - Arrival time of the request, in milliseconds.
+   * @param now - Time in milliseconds.
+   * @param prefillTokens - Estimated number of tokens to prefill.
    */
   start(
     request: AdmissionRequest,
     arrivedAt: number,
     now: number,
-    prefillTokens = promptOf(request),
+    prefillTokens = totalPromptTokens(request),
   ): void {
-    const running: Running = {
+    const running: RunningRequest = {
       request,
       startedAt: now,
       arrivedAt,
-      order: this.started,
+      startOrder: this.started,
       prefillTokens,
       prefillLeft: prefillTokens,
-      corrected: false,
+      missAssumed: false,
       prefilling: true,
       generated: 0,
       stopping: false,
@@ -134,75 +140,83 @@
     this.started += 1;
     this.byId.set(request.id, running);
     this.prefilling.add(running);
-    const tally = this.tallies[request.class];
-    tally.running += 1;
-    tally.prefillTokens += prefillTokens;
-    tally.kvTokens += promptOf(request);
-    tally.kvAtEnd += request.promptTokens + request.maxTokens;
+    const totals = this.totals[request.class];
+    totals.running += 1;
+    totals.prefillTokens += prefillTokens;
+    totals.kvTokens += totalPromptTokens(request);
+    totals.kvAtEnd += request.promptTokens + request.maxTokens;
   }
 
   /**
-   * @param id - A request whose prompt is prefilled.
-   * @returns It, if it was prefilling.
+   * Marks a request as prefilled.
+   *
+   * @param id - The id of the request.
+   * @returns The request; undefined if it was not being prefilled.
    */
-  firstToken(id: string): Running | undefined {
+  firstToken(id: string): RunningRequest | undefined {
     const running = this.byId.get(id);
     if (running === undefined || !running.prefilling) return undefined;
     running.prefilling = false;
     this.prefilling.delete(running);
     if (running.stopping) return running;
-    const tally = this.tallies[running.request.class];
-    tally.prefillTokens -= running.prefillLeft;
-    tally.decoding += 1;
+    const totals = this.totals[running.request.class];
+    totals.prefillTokens -= running.prefillLeft;
+    totals.decoding += 1;
     return running;
   }
 
   /**
-   * @param id - A request.
-   * @param count - How many tokens it got.
-   * @returns It, if the engine has it.
+   * Counts generated tokens of a request.
+   *
+   * @param id - The id of the request.
+   * @param count - Number of tokens.
+   * @returns The request; undefined if the engine does not hold it.
    */
-  tokens(id: string, count: number): Running | undefined {
+  tokens(id: string, count: number): RunningRequest | undefined {
     const running = this.byId.get(id);
     if (running === undefined) return undefined;
     running.generated += count;
     if (!running.stopping) {
-      this.tallies[running.request.class].kvTokens += count;
+      this.totals[running.request.class].kvTokens += count;
     }
     return running;
   }
 
   /**
-   * Takes a request out of the tallies; the engine still has it, and works on
-   * it until its step ends.
+   * Marks a request as stopping and removes it from the totals. The engine still
+   * holds it and works on it until the current step ends.
    *
-   * @param running - What is told to stop.
+   * @param running - The request that is told to stop.
    */
-  stop(running: Running): void {
-    this.untally(running);
+  stop(running: RunningRequest): void {
+    this.removeFromTotals(running);
     running.stopping = true;
   }
 
   /**
-   * @param id - A request that the engine is free of.
-   * @returns It, if the engine had it.
+   * Removes a request that the engine no longer holds.
+   *
+   * @param id - The id of the request.
+   * @returns The request; undefined if the engine did not hold it.
    */
-  end(id: string): Running | undefined {
+  end(id: string): RunningRequest | undefined {
     const running = this.byId.get(id);
     if (running === undefined) return undefined;
     this.byId.delete(id);
     this.prefilling.delete(running);
-    if (!running.stopping) this.untally(running);
+    if (!running.stopping) this.removeFromTotals(running);
     return running;
   }
 
   /**
-   * Notes that an engine has prefilled tokens; it does so in order of start.
+   * Attributes prefilled tokens to requests in order of their start, which is
+   * the order in which engines prefill.
    *
-   * @param tokens - How many, of all requests together.
-   * @returns How many of them were of online prompts, and of none.
+   * @param tokens - Number of tokens prefilled in a step, over all requests.
+   * @returns The number of tokens of online prompts, and the number of tokens
+   *     beyond the estimated remainder of all prompts.
    */
-  prefilled(tokens: number): {
+  recordPrefill(tokens: number): {
     readonly online: number;
     readonly unexpected: number;
   } {
@@ -210,61 +224,67 @@
     let online = 0;
     for (const running of this.prefilling) {
       if (left <= 0) break;
-      const part = Math.min(left, running.prefillLeft);
-      running.prefillLeft -= part;
-      left -= part;
+      const done = Math.min(left, running.prefillLeft);
+      running.prefillLeft -= done;
+      left -= done;
       const {class: kind} = running.request;
-      if (!running.stopping) this.tallies[kind].prefillTokens -= part;
-      if (kind === 'online') online += part;
+      if (!running.stopping) this.totals[kind].prefillTokens -= done;
+      if (kind === 'online') online += done;
     }
-    if (left > MISS_TOKENS) this.expectMore();
+    if (left > CACHE_MISS_TOKENS) this.assumeCacheMiss();
     return {online, unexpected: left};
   }
 
   /**
-   * The engine prefills more than was thought to be left, so what was thought
-   * to be cached is not: those without a token yet have all of it to do.
+   * Corrects the estimates after unexpected prefill. The engine prefilled more
+   * than the estimated remainder, so prefixes that were assumed to be cached are
+   * not. Requests without a first token are assumed to prefill them as well.
    */
-  private expectMore(): void {
+  private assumeCacheMiss(): void {
     for (const running of this.prefilling) {
-      const {request, prefillTokens, corrected, stopping} = running;
-      if (running.prefillLeft > 0 || corrected) continue;
-      running.corrected = true;
-      running.prefillLeft = Math.max(0, promptOf(request) - prefillTokens);
+      const {request, prefillTokens, missAssumed, stopping} = running;
+      if (running.prefillLeft > 0 || missAssumed) continue;
+      running.missAssumed = true;
+      running.prefillLeft = Math.max(
+        0,
+        totalPromptTokens(request) - prefillTokens,
+      );
       if (stopping) continue;
-      this.tallies[request.class].prefillTokens += running.prefillLeft;
+      this.totals[request.class].prefillTokens += running.prefillLeft;
     }
   }
 
   /**
-   * @param since - Milliseconds.
-   * @returns Whether a request that was started before then has no token yet.
+   * @param time - Time in milliseconds.
+   * @returns Whether a request that was started earlier is still being prefilled.
    */
-  waitsSince(since: number): boolean {
+  hasPrefillStartedBefore(time: number): boolean {
     for (const {startedAt} of this.prefilling) {
-      if (startedAt < since) return true;
+      if (startedAt < time) return true;
     }
     return false;
   }
 
   /**
-   * @returns Batch streams that are to stay and can be preempted, newest first.
-   *     What may run only once cannot: it would look stopped and run on.
+   * @returns Batch streams that can be preempted and are not stopping, newest
+   *     first. Requests that must not run twice are excluded: the target process
+   *     does not carry out their preemption, so they would be counted as stopping
+   *     while they keep running.
    */
-  newestBatch(): readonly Running[] {
+  preemptibleBatch(): readonly RunningRequest[] {
     return [...this.byId.values()]
       .filter(({request, stopping}) => request.class === 'batch' && !stopping)
       .filter(({request}) => request.preemptible !== false)
-      .sort((a, b) => b.order - a.order);
+      .sort((a, b) => b.startOrder - a.startOrder);
   }
 
-  private untally(running: Running): void {
+  private removeFromTotals(running: RunningRequest): void {
     const {request} = running;
-    const tally = this.tallies[request.class];
-    tally.running -= 1;
-    tally.kvTokens -= promptOf(request) + running.generated;
-    tally.kvAtEnd -= request.promptTokens + request.maxTokens;
-    if (running.prefilling) tally.prefillTokens -= running.prefillLeft;
-    else tally.decoding -= 1;
+    const totals = this.totals[request.class];
+    totals.running -= 1;
+    totals.kvTokens -= totalPromptTokens(request) + running.generated;
+    totals.kvAtEnd -= request.promptTokens + request.maxTokens;
+    if (running.prefilling) totals.prefillTokens -= running.prefillLeft;
+    else totals.decoding -= 1;
   }
 }
--- a/packages/core/src/lib/process/service_lane.ts
+++ b/packages/core/src/lib/process/service_lane.ts
@@ -1,36 +1,38 @@
 /**
- * Admission to a plain service: calls at once are bounded by their latency.
- * Online calls wait shortly or are refused; batch calls take idle places only,
- * and keep one place free. A call cannot be preempted, so batch calls are never
- * more than half of the places.
+ * Schedules the calls to one plain service. The number of concurrent calls is
+ * bounded by their latency. Online calls are queued for a short time or refused.
+ * Batch calls use idle slots only and leave one slot free. A running call cannot
+ * be preempted, so batch calls never occupy more than half of the slots.
  */
 import type {
   AdmissionAction,
   AdmissionLoad,
   AdmissionRequest,
 } from './admission.js';
-import type {EndKind, Lane} from './lane.js';
-import {LatencyLimit} from './latency_limit.js';
+import type {RunEnd, Scheduler} from './lane.js';
+import {ConcurrencyLimit} from './latency_limit.js';
 import {RunningSet} from './running_set.js';
-import {WaitingRoom} from './waiting_room.js';
+import {SchedulerQueues} from './waiting_room.js';
 import {notRun} from '../request/refusal.js';
 import type {PoolConfig} from '../version/target_config.js';
 
+/** Largest share of the slots for batch calls. */
 const BATCH_SHARE = 0.5;
 const MIN_RETRY_AFTER_MS = 20;
-/** Queue length as a share of the places. */
+/** Maximum length of the online queue, as a share of the slots. */
 const QUEUE_SHARE = 1;
-const BATCH_AT_HAND = 2;
+/** Batch calls to keep queued, so that a free slot is filled without delay. */
+const BATCH_QUEUE_TARGET = 2;
 
-/** Decides what runs when at one plain service. */
-export class ServiceLane implements Lane {
-  private readonly limit = new LatencyLimit();
+/** Schedules the calls to one plain service. */
+export class ServiceScheduler implements Scheduler {
+  private readonly limit = new ConcurrencyLimit();
   private readonly running = new RunningSet();
-  private readonly room = new WaitingRoom();
-  private isLeaving = false;
+  private readonly queues = new SchedulerQueues();
+  private isDraining = false;
   private suspectRunning = false;
 
-  /** @param cfg - The pool. */
+  /** @param cfg - The configuration of the pool. */
   constructor(private cfg: PoolConfig) {}
 
   configure(
@@ -38,18 +40,18 @@
     weights: Readonly<Record<string, number>>,
   ): void {
     this.cfg = pools.find(({pool}) => pool === this.cfg.pool) ?? this.cfg;
-    this.room.setWeights(weights);
+    this.queues.setWeights(weights);
   }
 
   arrived(request: AdmissionRequest, now: number): readonly AdmissionAction[] {
-    if (this.isLeaving) return [this.turnedAway(request)];
-    this.room.add(request, now);
-    const actions = this.pump(now);
-    const queue = this.room.online;
-    while (queue.size > this.places * QUEUE_SHARE) {
-      const {id} = queue.last()!.request;
+    if (this.isDraining) return [this.drainingRejection(request)];
+    this.queues.add(request, now);
+    const actions = this.schedule(now);
+    const queue = this.queues.online;
+    while (queue.size > this.concurrencyLimit * QUEUE_SHARE) {
+      const {id} = queue.shedCandidate()!.request;
       queue.remove(id);
-      actions.push({kind: 'refuse', id, refusal: this.overloaded()});
+      actions.push({kind: 'refuse', id, refusal: this.overloadRefusal()});
     }
     return actions;
   }
@@ -62,32 +64,32 @@
     return [];
   }
 
-  ended(id: string, how: EndKind, now: number): readonly AdmissionAction[] {
-    const beside = this.running.size;
+  ended(id: string, how: RunEnd, now: number): readonly AdmissionAction[] {
+    const concurrentCalls = this.running.size;
     const running = this.running.end(id);
     if (running === undefined) return [];
     if (running.request.suspect) this.suspectRunning = false;
     if (how === 'done') {
       const latencyMs = now - running.startedAt;
-      this.limit.ended(latencyMs, beside, this.cfg.maxOnline);
+      this.limit.ended(latencyMs, concurrentCalls, this.cfg.maxOnline);
     }
-    return this.pump(now);
+    return this.schedule(now);
   }
 
   abandoned(id: string, now: number): readonly AdmissionAction[] {
-    this.room.remove(id);
-    return this.pump(now);
+    this.queues.remove(id);
+    return this.schedule(now);
   }
 
   engineLoad(): void {}
 
   leaving(now: number): readonly AdmissionAction[] {
-    this.isLeaving = true;
-    return [...this.room.giveBackBatch(), ...this.pump(now)];
+    this.isDraining = true;
+    return [...this.queues.returnBatch(), ...this.schedule(now)];
   }
 
   tick(now: number): readonly AdmissionAction[] {
-    return [...this.room.expire(now), ...this.pump(now)];
+    return [...this.queues.expire(now), ...this.schedule(now)];
   }
 
   runs(id: string): boolean {
@@ -96,39 +98,43 @@
 
   load(): AdmissionLoad {
     const {online, batch} = this.running;
-    const room = this.batchPlaces() + BATCH_AT_HAND - this.room.batch.size;
-    const closed = this.isLeaving || this.suspectRunning;
+    const batchRoom =
+      this.freeBatchSlots() + BATCH_QUEUE_TARGET - this.queues.batch.size;
+    const acceptsNoBatch = this.isDraining || this.suspectRunning;
     return {
       onlineRunning: online.running,
-      onlineQueued: this.room.online.size,
-      onlineCapacity: this.places,
+      onlineQueued: this.queues.online.size,
+      onlineCapacity: this.concurrencyLimit,
       batchRunning: batch.running,
-      batchQueued: this.room.batch.size,
-      batchRoom: closed ? 0 : Math.max(0, room),
+      batchQueued: this.queues.batch.size,
+      batchRoom: acceptsNoBatch ? 0 : Math.max(0, batchRoom),
       prefillTokens: 0,
       stepMs: this.limit.meanMs,
     };
   }
 
-  private get places(): number {
+  private get concurrencyLimit(): number {
     return this.limit.capacity(this.cfg.maxOnline);
   }
 
-  private batchPlaces(): number {
-    const free = this.places - this.running.size - 1;
-    const share = Math.ceil(this.places * BATCH_SHARE);
+  private freeBatchSlots(): number {
+    const free = this.concurrencyLimit - this.running.size - 1;
+    const share = Math.ceil(this.concurrencyLimit * BATCH_SHARE);
     return Math.min(free, share - this.running.batch.running);
   }
 
-  private pump(now: number): AdmissionAction[] {
+  private schedule(now: number): AdmissionAction[] {
     const actions: AdmissionAction[] = [];
-    if (this.room.suspectCount > 0) this.startSuspect(now, actions);
+    if (this.queues.suspectCount > 0) this.startSuspect(now, actions);
     if (this.suspectRunning) return actions;
-    while (this.running.size < this.places && this.room.online.size > 0) {
-      this.start(this.room.online.take()!, now, actions);
+    while (
+      this.running.size < this.concurrencyLimit &&
+      this.queues.online.size > 0
+    ) {
+      this.start(this.queues.online.take()!, now, actions);
     }
-    while (this.batchPlaces() > 0 && this.room.batch.size > 0) {
-      this.start(this.room.batch.take()!, now, actions);
+    while (this.freeBatchSlots() > 0 && this.queues.batch.size > 0) {
+      this.start(this.queues.batch.take()!, now, actions);
     }
     return actions;
   }
@@ -136,7 +142,7 @@
   private startSuspect(now: number, actions: AdmissionAction[]): void {
     if (this.running.size > 0 || this.suspectRunning) return;
     this.suspectRunning = true;
-    this.start(this.room.takeSuspect()!, now, actions);
+    this.start(this.queues.takeSuspect()!, now, actions);
   }
 
   private start(
@@ -151,15 +157,22 @@
     actions.push({kind: 'start', id: request.id});
   }
 
-  private turnedAway({id, class: kind}: AdmissionRequest): AdmissionAction {
+  private drainingRejection({
+    id,
+    class: kind,
+  }: AdmissionRequest): AdmissionAction {
     if (kind === 'batch') return {kind: 'give-back', id};
-    const refusal = notRun('leaving', 'This target takes no new work.');
+    const refusal = notRun(
+      'leaving',
+      'The target is draining and accepts no new requests.',
+    );
     return {kind: 'refuse', id, refusal};
   }
 
-  private overloaded() {
-    const wait = (this.room.online.size * this.limit.meanMs) / this.places;
-    const retryAfterMs = Math.max(MIN_RETRY_AFTER_MS, Math.ceil(wait));
-    return notRun('overloaded', 'The service has no room.', retryAfterMs);
+  private overloadRefusal() {
+    const waitMs =
+      (this.queues.online.size * this.limit.meanMs) / this.concurrencyLimit;
+    const retryAfterMs = Math.max(MIN_RETRY_AFTER_MS, Math.ceil(waitMs));
+    return notRun('overloaded', 'The service is at capacity.', retryAfterMs);
   }
 }
--- a/packages/core/src/lib/process/service_pace.ts
+++ b/packages/core/src/lib/process/service_pace.ts
@@ -1,34 +1,43 @@
 /**
- * How long the targets of a service take for a request, learnt from runs that
- * found a free slot: what a wait for a slot added would count it twice.
+ * Estimates how long the targets of a service take for a request. Only runs that
+ * found a free slot are measured: time spent waiting for a slot would otherwise
+ * be counted twice.
  */
 
-/** What a run takes at a target that is not full. */
+/** Latency of a run at a target with a free slot. */
 export interface ServicePace {
-  /** From sending to the first byte of the answer, in milliseconds. */
+  /** Time from sending to the first byte of the answer, in milliseconds. */
   readonly firstByteMs: number;
-  /** From sending to the end of the answer, in milliseconds. */
+  /** Time from sending to the end of the answer, in milliseconds. */
   readonly runMs: number;
 }
 
-/** Weight of the newest run in the mean: some fifty runs count, so that one slow
- * target of a few does not stand for all. */
+/**
+ * Weight of the newest run in the moving mean. About fifty runs contribute, so
+ * that one slow target among a few does not dominate the mean.
+ */
 const NEWEST_WEIGHT = 0.02;
-/** Runs before the mean is used; before them the newest weighs its share of
- * those that there were. */
-const FIRST_RUNS = 5;
+/**
+ * Number of runs before the mean is used. While there are few runs, each of them
+ * has the same weight.
+ */
+const MIN_RUNS = 5;
 
-/** Keeps the pace of one service. */
+/** Keeps a moving mean of the latency of one service. */
 export class PaceLearner {
   private runs = 0;
   private mean: ServicePace = {firstByteMs: 0, runMs: 0};
 
-  /** What runs have taken lately; undefined: too few are known. */
+  /** Mean latency of recent runs; undefined after too few runs. */
   get pace(): ServicePace | undefined {
-    return this.runs < FIRST_RUNS ? undefined : this.mean;
+    return this.runs < MIN_RUNS ? undefined : this.mean;
   }
 
-  /** @param run - A run that found a free slot and was answered. */
+  /**
+   * Adds a run to the mean.
+   *
+   * @param run - The latency of a run that found a free slot and was answered.
+   */
   add(run: ServicePace): void {
     this.runs++;
     const weight = Math.max(NEWEST_WEIGHT, 1 / this.runs);
--- a/packages/core/src/lib/process/step_clock.ts
+++ b/packages/core/src/lib/process/step_clock.ts
@@ -1,62 +1,73 @@
 /**
- * Finds the steps of an engine in the tokens that it streams: in one step every
- * stream gets one token, so a stream's next token tells that a new step ended.
+ * Detects the steps of an engine in the tokens that it streams. In each step
+ * every stream gets one token, so the next token of the same stream indicates
+ * that another step has ended.
  */
 
-/** Tokens of one step come together; later than this they are the next's. */
-const LATE_SHARE = 0.5;
+/**
+ * Share of the duration of the last step after which a token belongs to the next
+ * step. The tokens of one step arrive together.
+ */
+const NEXT_STEP_SHARE = 0.5;
 
-/** Tells steps apart. */
-export class StepClock {
-  private readonly seen = new Set<string>();
+/** Detects the steps of one engine. */
+export class StepDetector {
+  private readonly seenStreams = new Set<string>();
   private startedAt: number | undefined;
-  private lastMs = 0;
+  private lastStepMs = 0;
 
-  /** When the step in progress began; undefined while the engine is idle. */
+  /**
+   * Start of the step in progress, in milliseconds; undefined while the engine
+   * is idle.
+   */
   get since(): number | undefined {
     return this.startedAt;
   }
 
-  /** @param now - When the idle engine was handed its first request. */
+  /**
+   * Starts the first step of an idle engine. Has no effect during a step.
+   *
+   * @param now - Time at which the engine was sent the request, in milliseconds.
+   */
   begin(now: number): void {
     this.startedAt ??= now;
   }
 
   /**
-   * Takes note of a token.
+   * Records a token.
    *
-   * @param id - The stream.
-   * @param now - Milliseconds.
-   * @returns How long the step took that ended with this token, if it is the
-   *     first one seen of it.
+   * @param id - The id of the stream.
+   * @param now - Time in milliseconds.
+   * @returns The duration of the step that the token completes, in milliseconds;
+   *     undefined if it is not the first token of that step.
    */
   token(id: string, now: number): number | undefined {
-    const begun = this.startedAt;
+    const startedAt = this.startedAt;
     if (!this.endsStep(id, now)) {
-      this.seen.add(id);
+      this.seenStreams.add(id);
       return undefined;
     }
-    this.seen.clear();
-    this.seen.add(id);
+    this.seenStreams.clear();
+    this.seenStreams.add(id);
     this.startedAt = now;
-    if (begun === undefined) return undefined;
-    this.lastMs = now - begun;
-    return this.lastMs;
+    if (startedAt === undefined) return undefined;
+    this.lastStepMs = now - startedAt;
+    return this.lastStepMs;
   }
 
   /**
-   * All streams of the last step may have ended with it: then no stream repeats
-   * and the time that passed tells.
+   * Whether a token is the first one of a new step. If all streams of the last
+   * step ended with it, no stream repeats, so the elapsed time decides.
    */
   private endsStep(id: string, now: number): boolean {
-    if (this.seen.size === 0 || this.seen.has(id)) return true;
-    const elapsed = now - (this.startedAt ?? now);
-    return elapsed > this.lastMs * LATE_SHARE;
+    if (this.seenStreams.size === 0 || this.seenStreams.has(id)) return true;
+    const elapsedMs = now - (this.startedAt ?? now);
+    return elapsedMs > this.lastStepMs * NEXT_STEP_SHARE;
   }
 
-  /** Nothing runs any more. */
+  /** Resets the detector when the engine becomes idle. */
   idle(): void {
-    this.seen.clear();
+    this.seenStreams.clear();
     this.startedAt = undefined;
   }
 }
--- a/packages/core/src/lib/process/step_model.ts
+++ b/packages/core/src/lib/process/step_model.ts
@@ -1,215 +1,232 @@
 /**
- * A model of an engine's step time, learnt from the steps seen: a fixed part, a
- * part per stream and a part per token of prompt being prefilled. With it the
- * admission knows before a start what that start does to the others, and what
- * the engine would have done without batch work.
+ * A linear model of the step duration of an engine, fitted to observed steps: a
+ * fixed cost, a cost per stream and a cost per prefilled prompt token. It
+ * predicts how a start will affect the running streams, and how long steps would
+ * have taken without batch work.
  */
 
-/** What an engine worked on during one step. */
-export interface StepMix {
-  /** Streams that get a token in the step. */
+/** The work of an engine during one step. */
+export interface StepWork {
+  /** Number of streams that get a token in the step. */
   readonly streams: number;
-  /** Prompt tokens not yet prefilled, of all running requests. */
+  /** Prompt tokens of all running requests that are not prefilled yet. */
   readonly prefillTokens: number;
 }
 
-/** Weight that a step keeps when the next one is seen. */
-const FORGETTING = 0.998;
-const PREFILL_FORGETTING = 0.97;
-/** Steps before the fit is believed. */
+/** Weight that past steps keep when a new one is observed. */
+const STEP_DECAY = 0.998;
+/** Weight that past prefill periods keep when a new one is observed. */
+const PREFILL_DECAY = 0.97;
+/** Number of steps before the fit is used. */
 const MIN_STEPS = 24;
-/** Variance of the streams in them, without which their cost is unknown. */
-const MIN_VARIANCE = 0.5;
+/**
+ * Variance of the number of streams below which the cost per stream cannot be
+ * determined.
+ */
+const MIN_STREAM_VARIANCE = 0.5;
+/** Relative deviation from the prediction beyond which a step is an outlier. */
 const OUTLIER_SHARE = 0.1;
-/** Outliers in a row that are believed. */
-const CHANGED_STEPS = 10;
-/** First guesses, replaced as soon as steps are seen; in milliseconds. */
-const FIRST_BASE_MS = 10;
-const FIRST_PER_STREAM_MS = 0.1;
-const FIRST_PER_PREFILL_TOKEN_MS = 0.05;
-/** How soon the largest prefill part of a step is forgotten, per step. */
-const LARGEST_FORGETTING = 0.9999;
-
-/** Learns how long an engine's steps take. */
+/** Number of consecutive outliers after which the model is fitted anew. */
+const MAX_OUTLIERS = 10;
+/** Initial estimates until steps are observed, in milliseconds. */
+const INITIAL_FIXED_MS = 10;
+const INITIAL_PER_STREAM_MS = 0.1;
+const INITIAL_PER_PREFILL_TOKEN_MS = 0.05;
+/** Factor on the maximum prefill time of a step, per step with prefill. */
+const MAX_PREFILL_DECAY = 0.9999;
+
+/** Fits and predicts the step duration of one engine. */
 export class StepModel {
   private weight = 0;
-  private sumN = 0;
-  private sumNn = 0;
-  private sumD = 0;
-  private sumNd = 0;
-  private steps = 0;
+  private sumStreams = 0;
+  private sumStreamsSquared = 0;
+  private sumDuration = 0;
+  private sumStreamsDuration = 0;
+  private stepCount = 0;
   private outliers = 0;
-  private sawVariation = false;
-  private periodMs = 0;
-  private sawOnlineOnly = false;
-  private prefillTime = 0;
+  private hasStreamVariation = false;
+  private prefillPeriodMs = 0;
+  private hasOnlineOnlyPeriod = false;
+  private decayedPrefillMs = 0;
   private prefillTokens = 0;
-  private largestPrefillMs = 0;
-  private largestStreams = 0;
-  private base = FIRST_BASE_MS;
-  private slope = FIRST_PER_STREAM_MS;
+  private maxStepPrefill = 0;
+  private maxStreams = 0;
+  private base = INITIAL_FIXED_MS;
+  private slope = INITIAL_PER_STREAM_MS;
 
-  /** Whether enough steps were seen to believe the model. */
+  /** Whether enough steps were observed to use the model. */
   get ready(): boolean {
-    return this.steps >= MIN_STEPS && this.sawVariation;
+    return this.stepCount >= MIN_STEPS && this.hasStreamVariation;
   }
 
-  /** The largest number of streams that the model was learnt from. */
-  get largestSeen(): number {
-    return this.largestStreams;
+  /** The largest number of streams in an observed step. */
+  get maxObservedStreams(): number {
+    return this.maxStreams;
   }
 
-  /** Milliseconds per prompt token. */
-  get perPrefillToken(): number {
-    if (this.prefillTokens <= 0) return FIRST_PER_PREFILL_TOKEN_MS;
-    return Math.max(0, this.prefillTime) / this.prefillTokens;
+  /** Cost of a prefilled prompt token, in milliseconds. */
+  get msPerPrefillToken(): number {
+    if (this.prefillTokens <= 0) return INITIAL_PER_PREFILL_TOKEN_MS;
+    return Math.max(0, this.decayedPrefillMs) / this.prefillTokens;
   }
 
-  /** Milliseconds of a step's fixed part. */
-  get fixed(): number {
+  /** Fixed cost of a step, in milliseconds. */
+  get fixedMs(): number {
     return this.base;
   }
 
-  /** Milliseconds of the largest prefill part of a step. */
-  get largestPrefill(): number {
-    return this.largestPrefillMs;
+  /** Maximum prefill time within a step, in milliseconds; 0 if unknown. */
+  get maxStepPrefillMs(): number {
+    return this.maxStepPrefill;
   }
 
-  /** Milliseconds that one more stream adds to a step. */
-  get perStream(): number {
+  /** Cost that each stream adds to a step, in milliseconds. */
+  get msPerStream(): number {
     return this.slope;
   }
 
   /**
-   * @param tokens - Prompt tokens.
-   * @returns How long prefilling them takes, steps' fixed parts left out.
+   * @param tokens - A number of prompt tokens.
+   * @returns The time to prefill them, in milliseconds, without the fixed cost of
+   *     the steps.
    */
   prefillMs(tokens: number): number {
-    return tokens * this.perPrefillToken;
+    return tokens * this.msPerPrefillToken;
   }
 
   /**
-   * Learns from one step.
+   * Updates the model with an observed step.
    *
-   * @param durationMs - How long it took.
-   * @param mix - What the engine worked on.
+   * @param durationMs - Duration of the step, in milliseconds.
+   * @param work - The work of the engine in the step.
    */
-  learn(durationMs: number, mix: StepMix): void {
-    this.largestStreams = Math.max(this.largestStreams, mix.streams);
-    if (mix.prefillTokens > 0) {
-      this.learnPrefill(durationMs, mix);
+  learn(durationMs: number, work: StepWork): void {
+    this.maxStreams = Math.max(this.maxStreams, work.streams);
+    if (work.prefillTokens > 0) {
+      this.learnPrefill(durationMs, work);
       return;
     }
-    if (this.outlier(durationMs, mix)) return;
-    this.steps += 1;
-    this.weight = this.weight * FORGETTING + 1;
-    this.sumN = this.sumN * FORGETTING + mix.streams;
-    this.sumNn = this.sumNn * FORGETTING + mix.streams * mix.streams;
-    this.sumD = this.sumD * FORGETTING + durationMs;
-    this.sumNd = this.sumNd * FORGETTING + mix.streams * durationMs;
+    if (this.isOutlier(durationMs, work)) return;
+    this.stepCount += 1;
+    this.weight = this.weight * STEP_DECAY + 1;
+    this.sumStreams = this.sumStreams * STEP_DECAY + work.streams;
+    this.sumStreamsSquared =
+      this.sumStreamsSquared * STEP_DECAY + work.streams * work.streams;
+    this.sumDuration = this.sumDuration * STEP_DECAY + durationMs;
+    this.sumStreamsDuration =
+      this.sumStreamsDuration * STEP_DECAY + work.streams * durationMs;
     this.fit();
   }
 
   /**
-   * Learns the cost of a prompt token from a time in which prompts were being
-   * prefilled without a break. What batch work has cached is only estimated, so
-   * once there were times with online prompts alone, only those count.
+   * Updates the cost of a prompt token after a period of continuous prefill. How
+   * much of a batch prompt is cached is only an estimate, so once there was a
+   * period with online prompts only, other periods are ignored.
    *
-   * @param tokens - Prompt tokens whose prefill ended in it.
-   * @param onlineOnly - Whether no batch prompt was among them.
+   * @param tokens - Number of prompt tokens prefilled in the period.
+   * @param onlineOnly - Whether only online prompts were prefilled.
    */
   endPrefill(tokens: number, onlineOnly: boolean): void {
-    const ms = this.periodMs;
-    this.periodMs = 0;
-    if (tokens <= 0 || (this.sawOnlineOnly && !onlineOnly)) return;
-    const keep = onlineOnly && !this.sawOnlineOnly ? 0 : PREFILL_FORGETTING;
-    this.sawOnlineOnly ||= onlineOnly;
-    this.prefillTime = this.prefillTime * keep + ms;
-    this.prefillTokens = this.prefillTokens * keep + tokens;
+    const ms = this.prefillPeriodMs;
+    this.prefillPeriodMs = 0;
+    if (tokens <= 0 || (this.hasOnlineOnlyPeriod && !onlineOnly)) return;
+    const decay = onlineOnly && !this.hasOnlineOnlyPeriod ? 0 : PREFILL_DECAY;
+    this.hasOnlineOnlyPeriod ||= onlineOnly;
+    this.decayedPrefillMs = this.decayedPrefillMs * decay + ms;
+    this.prefillTokens = this.prefillTokens * decay + tokens;
   }
 
   /**
-   * @param mix - What the engine would work on.
-   * @returns How long the step would take, in milliseconds.
+   * @param work - The work of the engine in a step.
+   * @returns The predicted duration of the step, in milliseconds.
    */
-  predict(mix: StepMix): number {
-    if (mix.streams === 0 && mix.prefillTokens === 0) return 0;
-    const prefill = this.prefillPart(mix.prefillTokens);
-    return this.base + this.slope * mix.streams + prefill;
+  predict(work: StepWork): number {
+    if (work.streams === 0 && work.prefillTokens === 0) return 0;
+    const prefillMs = this.stepPrefillMs(work.prefillTokens);
+    return this.base + this.slope * work.streams + prefillMs;
   }
 
   /**
-   * @param durationMs - How long a step took.
-   * @param streams - How many got a token in it.
-   * @returns Prompt tokens that it must have prefilled.
+   * @param durationMs - Duration of a step, in milliseconds.
+   * @param streams - Number of streams that got a token in it.
+   * @returns The number of prompt tokens prefilled in the step, derived from its
+   *     duration.
    */
   prefilledIn(durationMs: number, streams: number): number {
-    const extra = durationMs - this.base - this.slope * streams;
-    const each = this.perPrefillToken;
-    return each > 0 ? Math.max(0, Math.round(extra / each)) : 0;
+    const extraMs = durationMs - this.base - this.slope * streams;
+    const tokenMs = this.msPerPrefillToken;
+    return tokenMs > 0 ? Math.max(0, Math.round(extraMs / tokenMs)) : 0;
   }
 
   /**
-   * @param limitMs - The longest step wanted.
-   * @returns The most streams whose step stays within it.
+   * @param limitMs - The longest acceptable step, in milliseconds.
+   * @returns The largest number of streams whose step stays within the limit
+   *     without prefill.
    */
   streamsWithin(limitMs: number): number {
     if (this.slope <= 0) return Number.POSITIVE_INFINITY;
     return Math.max(0, Math.floor((limitMs - this.base) / this.slope));
   }
 
-  /** The part of one step that prefilling takes; engines do it in pieces. */
-  private prefillPart(tokens: number): number {
-    const all = this.prefillMs(tokens);
-    if (this.largestPrefillMs <= 0) return all;
-    return Math.min(all, this.largestPrefillMs);
+  /**
+   * The prefill time within one step, in milliseconds. Engines prefill long
+   * prompts in chunks over several steps.
+   */
+  private stepPrefillMs(tokens: number): number {
+    const totalMs = this.prefillMs(tokens);
+    if (this.maxStepPrefill <= 0) return totalMs;
+    return Math.min(totalMs, this.maxStepPrefill);
   }
 
-  private learnPrefill(durationMs: number, mix: StepMix): void {
-    const decode = this.base + this.slope * mix.streams;
-    const extra = Math.max(0, durationMs - decode);
-    this.periodMs += extra;
-    if (mix.streams === 0 || !this.ready) return;
-    this.largestPrefillMs *= LARGEST_FORGETTING;
-    this.largestPrefillMs = Math.max(this.largestPrefillMs, extra);
+  private learnPrefill(durationMs: number, work: StepWork): void {
+    const decodeMs = this.base + this.slope * work.streams;
+    const extraMs = Math.max(0, durationMs - decodeMs);
+    this.prefillPeriodMs += extraMs;
+    if (work.streams === 0 || !this.ready) return;
+    this.maxStepPrefill *= MAX_PREFILL_DECAY;
+    this.maxStepPrefill = Math.max(this.maxStepPrefill, extraMs);
   }
 
   /**
-   * A step may hold work that is not known of; one such step would spoil the
-   * fit for long. When they keep coming, it is the engine that has changed.
+   * Whether a step is an outlier that the fit ignores. A step may include unknown
+   * work, and one such step would distort the fit for a long time. Consecutive
+   * outliers mean that the engine has changed, so the model is reset.
    */
-  private outlier(durationMs: number, mix: StepMix): boolean {
-    const expected = this.predict(mix);
-    const off = Math.abs(durationMs - expected) > expected * OUTLIER_SHARE;
-    this.outliers = off ? this.outliers + 1 : 0;
-    if (!this.ready || !off) return false;
-    if (this.outliers >= CHANGED_STEPS) this.forget();
+  private isOutlier(durationMs: number, work: StepWork): boolean {
+    const expected = this.predict(work);
+    const deviates = Math.abs(durationMs - expected) > expected * OUTLIER_SHARE;
+    this.outliers = deviates ? this.outliers + 1 : 0;
+    if (!this.ready || !deviates) return false;
+    if (this.outliers >= MAX_OUTLIERS) this.reset();
     return true;
   }
 
-  private forget(): void {
+  private reset(): void {
     this.weight = 0;
-    this.sumN = 0;
-    this.sumNn = 0;
-    this.sumD = 0;
-    this.sumNd = 0;
-    this.steps = 0;
+    this.sumStreams = 0;
+    this.sumStreamsSquared = 0;
+    this.sumDuration = 0;
+    this.sumStreamsDuration = 0;
+    this.stepCount = 0;
     this.outliers = 0;
-    this.sawVariation = false;
-    this.sawOnlineOnly = false;
-    this.largestPrefillMs = 0;
+    this.hasStreamVariation = false;
+    this.hasOnlineOnlyPeriod = false;
+    this.maxStepPrefill = 0;
   }
 
   private fit(): void {
-    const meanN = this.sumN / this.weight;
-    const meanD = this.sumD / this.weight;
-    const variance = this.sumNn / this.weight - meanN * meanN;
-    const covariance = this.sumNd / this.weight - meanN * meanD;
-    // With hardly any variation the slope is noise: the last one is kept.
-    if (variance > MIN_VARIANCE) {
-      this.sawVariation = true;
+    const meanStreams = this.sumStreams / this.weight;
+    const meanDuration = this.sumDuration / this.weight;
+    const variance =
+      this.sumStreamsSquared / this.weight - meanStreams * meanStreams;
+    const covariance =
+      this.sumStreamsDuration / this.weight - meanStreams * meanDuration;
+    // If the number of streams hardly varies, the slope is noise, so the previous
+    // one is kept.
+    if (variance > MIN_STREAM_VARIANCE) {
+      this.hasStreamVariation = true;
       this.slope = Math.max(0, covariance / variance);
     }
-    this.base = Math.max(0, meanD - this.slope * meanN);
+    this.base = Math.max(0, meanDuration - this.slope * meanStreams);
   }
 }
--- a/packages/core/src/lib/process/waiting_room.ts
+++ b/packages/core/src/lib/process/waiting_room.ts
@@ -1,35 +1,39 @@
 /**
- * The queues before one lane. Online and batch work never share one. A request
- * that is given up on is answered in the same call, not at its deadline.
+ * The queues of one scheduler. Online and batch work never share a queue. A
+ * request that is dropped from a queue is answered in the same call, not at its
+ * deadline.
  */
 import type {AdmissionAction, AdmissionRequest} from './admission.js';
 import {FairQueue} from './fair_queue.js';
-import type {Queued} from './fair_queue.js';
+import type {QueuedRequest} from './fair_queue.js';
 import {notRun} from '../request/refusal.js';
 
-/** Batch work that waited so long goes back, so that another target can try. */
-const BATCH_WAIT_MS = 15_000;
+/**
+ * Time in the queue after which a batch request is returned to the entry process
+ * that sent it, so that another target can run it.
+ */
+const MAX_BATCH_WAIT_MS = 15_000;
 
-/** Online, batch and suspect requests that wait for one lane. */
-export class WaitingRoom {
+/** The queued online, batch and suspect requests of one scheduler. */
+export class SchedulerQueues {
   readonly online = new FairQueue();
   readonly batch = new FairQueue();
-  private readonly suspects: Queued[] = [];
+  private readonly suspects: QueuedRequest[] = [];
 
-  /** Suspect requests that wait to run alone. */
+  /** Number of queued suspect requests, which have to run alone. */
   get suspectCount(): number {
     return this.suspects.length;
   }
 
-  /** @param weights - Share of each caller; 1 where one is missing. */
+  /** @param weights - Weight by caller; the default is 1. */
   setWeights(weights: Readonly<Record<string, number>>): void {
     this.online.setWeights(weights);
     this.batch.setWeights(weights);
   }
 
   /**
-   * @param request - What has to wait.
-   * @param now - Milliseconds.
+   * @param request - The request to queue.
+   * @param now - Time in milliseconds.
    */
   add(request: AdmissionRequest, now: number): void {
     if (request.suspect) this.suspects.push({request, since: now});
@@ -37,8 +41,8 @@
   }
 
   /**
-   * @param id - A request.
-   * @returns Whether it waited; it does no more.
+   * @param id - The id of the request to remove.
+   * @returns Whether the request was queued.
    */
   remove(id: string): boolean {
     const at = this.suspects.findIndex(({request}) => request.id === id);
@@ -46,30 +50,32 @@
     return at >= 0 || this.online.remove(id) || this.batch.remove(id);
   }
 
-  /** @returns The suspect request that waited longest, left in place. */
-  peekSuspect(): Queued | undefined {
+  /** @returns The oldest suspect request, without removing it. */
+  peekSuspect(): QueuedRequest | undefined {
     return this.suspects[0];
   }
 
-  /** @returns The suspect request that waited longest, taken out. */
-  takeSuspect(): Queued | undefined {
+  /** @returns The oldest suspect request, after removing it. */
+  takeSuspect(): QueuedRequest | undefined {
     return this.suspects.shift();
   }
 
   /**
-   * @param now - Milliseconds.
-   * @returns The refusals of what can no longer be in time, and batch work
-   *     that is better off elsewhere.
+   * Removes requests that are past their deadline or have waited too long.
+   *
+   * @param now - Time in milliseconds.
+   * @returns Refusals of expired online and suspect requests, and the return of
+   *     batch requests that another target may run sooner.
    */
   expire(now: number): readonly AdmissionAction[] {
     const actions: AdmissionAction[] = [];
     for (const {request} of [...this.online.entries(), ...this.suspects]) {
       if (request.deadline > now) continue;
       this.remove(request.id);
-      actions.push(expired(request));
+      actions.push(deadlineRefusal(request));
     }
     for (const {request, since} of [...this.batch.entries()]) {
-      if (now - since < BATCH_WAIT_MS && request.deadline > now) continue;
+      if (now - since < MAX_BATCH_WAIT_MS && request.deadline > now) continue;
       this.remove(request.id);
       actions.push({kind: 'give-back', id: request.id});
     }
@@ -78,8 +84,12 @@
     return actions;
   }
 
-  /** @returns Gives back all batch work that waits. */
-  giveBackBatch(): readonly AdmissionAction[] {
+  /**
+   * Removes all queued batch requests, including suspects.
+   *
+   * @returns The actions that return them to the entry processes.
+   */
+  returnBatch(): readonly AdmissionAction[] {
     const ids = [...this.batch.entries(), ...this.suspects]
       .filter(({request}) => request.class === 'batch')
       .map(({request}) => request.id);
@@ -88,7 +98,10 @@
   }
 }
 
-function expired(request: AdmissionRequest): AdmissionAction {
-  const refusal = notRun('deadline-exceeded', 'No room before the deadline.');
+function deadlineRefusal(request: AdmissionRequest): AdmissionAction {
+  const refusal = notRun(
+    'deadline-exceeded',
+    'The deadline passed while the request was queued.',
+  );
   return {kind: 'refuse', id: request.id, refusal};
 }
--- a/packages/core/src/test/process/engine_admission_test.ts
+++ b/packages/core/src/test/process/engine_admission_test.ts
@@ -54,7 +54,11 @@
 const kinds = (actions: readonly AdmissionAction[]) =>
   actions.map(action => `${action.kind} ${action.id}`);
 
-/** Runs steps of 10 ms + 0.5 ms a stream, each giving all streams a token. */
+/**
+ * Runs steps of 10 ms plus 0.5 ms per stream. Each gives every stream a token.
+ *
+ * @returns The time after the last step, in milliseconds.
+ */
 function runSteps(
   admission: EngineAdmission,
   ids: readonly string[],
@@ -72,7 +76,7 @@
   return now;
 }
 
-test('admits online work at once, then queues, then refuses as not run', t => {
+test('starts online requests, then queues, then refuses them as not run', t => {
   const admission = configured();
   const ids = Array.from({length: 20}, (unused, i) => `r${i}`);
   const actions = arrive(admission, 0, ...ids.map(id => request(id)));
@@ -88,12 +92,12 @@
   }
 });
 
-test('preempts the newest batch streams in the call of an online arrival', t => {
-  // A branch asks while the night batch fills the engine. If batch streams only
-  // ended by themselves, the branch would see longer steps until they do.
+test('an online arrival preempts the newest batch streams in the same call', t => {
+  // An online request arrives while batch work fills the engine. If batch streams
+  // were only left to finish, steps would stay too long until then.
   const admission = configured();
   const batch = ['b0', 'b1', 'b2', 'b3'];
-  // So many that their p99 is believed.
+  // Enough requests for the baseline p99 to be used.
   const online = Array.from({length: 100}, (unused, i) => `r${i}`);
   let now = 0;
   for (const id of online) {
@@ -104,7 +108,8 @@
   arrive(admission, now, ...batch.map(id => request(id, {class: 'batch'})));
   now = runSteps(admission, batch, now, 80);
   t.is(admission.load().batchRunning, batch.length);
-  // Just before the step ends: what is left of it cannot be helped.
+  // Shortly before the step ends, because preemption cannot shorten the remainder
+  // of a step, which delays the first token.
   const actions = arrive(admission, now + 11.9, request('late'));
   t.is(actions.at(-1)!.kind, 'start');
   const preempted = actions
@@ -115,9 +120,10 @@
   t.is(admission.load().batchRunning, batch.length - preempted.length);
 });
 
-test('preempts all batch streams while the tail is not known', t => {
-  // At night few calls come. The slowest of a handful is no p99; taken for one,
-  // an ordinary call waited behind a full engine of batch work.
+test('preempts all batch streams while the baseline tail is unknown', t => {
+  // Under low traffic there are few online requests, and the slowest of a few is
+  // no p99. If it is used as one, an ordinary request waits behind an engine full
+  // of batch work.
   const admission = configured();
   const batch = ['b0', 'b1', 'b2', 'b3'];
   let now = 0;
@@ -133,7 +139,7 @@
   t.deepEqual(kinds(actions), [...preempts, 'start late']);
 });
 
-test('runs a suspect with nothing beside it', t => {
+test('runs a suspect request alone', t => {
   const admission = configured();
   arrive(admission, 0, request('b0', {class: 'batch'}));
   const waits = arrive(admission, 1, request('s0', {suspect: true}));
@@ -148,11 +154,11 @@
   t.deepEqual(kinds(after), ['start r0']);
 });
 
-// A target dies with a whole batch in flight: every item comes back as a
-// suspect. Where batch work was started while the engine was being emptied for
-// a suspect, it was preempted for the next one and started again, without an
-// end, in one turn of the process.
-test('many suspects of batch run one after the other', t => {
+// When a target crashes with many batch items in flight, every item comes back
+// as a suspect. If batch work is started while the engine is being emptied for a
+// suspect, it is preempted for the next suspect and started again, in an endless
+// loop within one turn of the event loop.
+test('many batch suspects run one after the other', t => {
   const admission = configured();
   const suspects = ['s0', 's1', 's2'];
   const batch = ['b0', 'b1'];
@@ -179,9 +185,9 @@
   t.deepEqual(ended.toSorted(), [...batch, ...suspects].toSorted());
 });
 
-// A suspect of batch has the engine for itself when a branch asks. The branch
-// must not wait for the end of the item.
-test('a suspect of batch gives way to online work', t => {
+// An online request arrives while a batch suspect runs alone on the engine. The
+// online request must not wait for the batch item to finish.
+test('a batch suspect is preempted for online work', t => {
   const admission = configured();
   const suspect = request('s0', {class: 'batch', suspect: true});
   t.deepEqual(kinds(arrive(admission, 0, suspect)), ['start s0']);
@@ -196,7 +202,7 @@
   t.deepEqual(kinds(alone), ['start s0']);
 });
 
-test('gives back waiting batch work and refuses new work when leaving', t => {
+test('returns queued batch work and refuses new work while draining', t => {
   const admission = configured();
   const batch = Array.from({length: 12}, (unused, i) =>
     request(`b${i}`, {class: 'batch'}),
@@ -209,11 +215,11 @@
   t.is(admission.load().batchRoom, 0);
   const [refused] = arrive(admission, 2, request('r0'));
   t.true(refused!.kind === 'refuse' && refused!.refusal.kind === 'leaving');
-  const back = arrive(admission, 2, request('b99', {class: 'batch'}));
-  t.deepEqual(kinds(back), ['give-back b99']);
+  const returned = arrive(admission, 2, request('b99', {class: 'batch'}));
+  t.deepEqual(kinds(returned), ['give-back b99']);
 });
 
-test('refuses in the queue as soon as the deadline cannot be met', t => {
+test('refuses a queued request as soon as its deadline has passed', t => {
   const admission = configured();
   const ids = Array.from({length: 7}, (unused, i) => `r${i}`);
   arrive(admission, 0, ...ids.map(id => request(id, {deadline: 500})));
@@ -224,7 +230,7 @@
   );
 });
 
-test('a plain service has places of its own, and keeps one from batch', t => {
+test('a plain service has its own slots and reserves one for online calls', t => {
   const admission = configured();
   const calls = Array.from({length: 6}, (unused, i) =>
     request(`c${i}`, {pool: 'limit-api', class: 'batch'}),
@@ -235,7 +241,7 @@
   t.deepEqual(kinds(online), ['start r0']);
 });
 
-test('refuses a pool that it does not serve', t => {
+test('refuses a request for a pool that the target does not serve', t => {
   const [refused] = arrive(configured(), 0, request('r0', {pool: 'other'}));
   t.true(refused!.kind === 'refuse' && refused!.refusal.kind === 'no-target');
 });
--- a/packages/core/src/test/process/fair_queue_test.ts
+++ b/packages/core/src/test/process/fair_queue_test.ts
@@ -28,14 +28,14 @@
   return order;
 }
 
-test('a caller that sends much waits behind itself', t => {
+test('a caller that floods the queue does not delay other callers', t => {
   const queue = new FairQueue();
   for (let i = 0; i < 4; i++) queue.add(request(`a${i}`, 'greedy'), 0);
   queue.add(request('b0', 'modest'), 1);
   t.deepEqual(takeAll(queue), ['a0', 'b0', 'a1', 'a2', 'a3']);
 });
 
-test('weights decide how often a caller has its turn', t => {
+test('callers are served in proportion to their weights', t => {
   const queue = new FairQueue();
   queue.setWeights({heavy: 2});
   for (let i = 0; i < 4; i++) queue.add(request(`h${i}`, 'heavy'), 0);
@@ -44,18 +44,18 @@
   t.is(order.slice(0, 3).filter(id => id.startsWith('h')).length, 2);
 });
 
-test('within a caller the earliest deadline goes first', t => {
+test('requests of one caller are taken by earliest deadline', t => {
   const queue = new FairQueue();
   queue.add(request('late', 'a', 900), 0);
   queue.add(request('soon', 'a', 100), 0);
   t.deepEqual(takeAll(queue), ['soon', 'late']);
 });
 
-test('names the last request of the caller whose turn comes last', t => {
+test('the shed candidate is the last request of the most served caller', t => {
   const queue = new FairQueue();
   queue.add(request('b0', 'modest'), 0);
   for (let i = 0; i < 3; i++) queue.add(request(`a${i}`, 'greedy'), 0);
-  t.is(queue.last()!.request.id, 'a2');
+  t.is(queue.shedCandidate()!.request.id, 'a2');
   t.true(queue.remove('a2'));
   t.false(queue.remove('a2'));
   t.is(queue.size, 3);
--- a/packages/core/src/test/process/latency_limit_test.ts
+++ b/packages/core/src/test/process/latency_limit_test.ts
@@ -1,36 +1,37 @@
 import test from 'ava';
-import {LatencyLimit} from '../../lib/process/latency_limit.js';
+import {ConcurrencyLimit} from '../../lib/process/latency_limit.js';
 
-const MOST = 100;
-const PLACES = 40;
+const MAX_CALLS = 100;
+const SLOTS = 40;
 
-/** A service that answers in 10 ms until its places are full. */
-function serve(limit: LatencyLimit, calls: number): void {
+/** Simulates a service with 40 slots that answers in 10 ms until they are full. */
+function serve(limit: ConcurrencyLimit, calls: number): void {
   for (let i = 0; i < calls; i++) {
-    const running = limit.capacity(MOST);
-    const latencyMs = 10 * Math.max(1, running / PLACES);
-    limit.ended(latencyMs, running, MOST);
+    const running = limit.capacity(MAX_CALLS);
+    const latencyMs = 10 * Math.max(1, running / SLOTS);
+    limit.ended(latencyMs, running, MAX_CALLS);
   }
 }
 
-test('grows while calls are quick, and stops where they queue', t => {
-  const limit = new LatencyLimit();
+test('grows while calls are fast, and stops when they are queued', t => {
+  const limit = new ConcurrencyLimit();
   serve(limit, 20_000);
-  const settled = limit.capacity(MOST);
-  t.true(settled >= PLACES && settled < 2.5 * PLACES, `${settled}`);
+  const settled = limit.capacity(MAX_CALLS);
+  t.true(settled >= SLOTS && settled < 2.5 * SLOTS, `${settled}`);
 });
 
-test('shrinks when the service turns slow and grows again after', t => {
-  const limit = new LatencyLimit();
+test('shrinks when the service becomes slow and grows again afterwards', t => {
+  const limit = new ConcurrencyLimit();
   serve(limit, 5_000);
-  const before = limit.capacity(MOST);
-  for (let i = 0; i < 300; i++) limit.ended(200, limit.capacity(MOST), MOST);
-  t.true(limit.capacity(MOST) < before / 2);
+  const before = limit.capacity(MAX_CALLS);
+  for (let i = 0; i < 300; i++)
+    limit.ended(200, limit.capacity(MAX_CALLS), MAX_CALLS);
+  t.true(limit.capacity(MAX_CALLS) < before / 2);
   serve(limit, 5_000);
-  t.true(limit.capacity(MOST) >= PLACES / 2);
+  t.true(limit.capacity(MAX_CALLS) >= SLOTS / 2);
 });
 
-test('stays within what is declared', t => {
-  const limit = new LatencyLimit();
+test('does not exceed the configured maximum', t => {
+  const limit = new ConcurrencyLimit();
   t.is(limit.capacity(3), 3);
 });
--- a/packages/core/src/test/process/memoized_step_test.ts
+++ b/packages/core/src/test/process/memoized_step_test.ts
@@ -1,11 +1,11 @@
 import test from 'ava';
 import {memoizedStep} from '../../lib/process/memoized_step.js';
 
-test('each cell of the table is worked out once', t => {
-  let worked = 0;
+test('each transition is computed once', t => {
+  let computed = 0;
   const step = memoizedStep<'on' | 'off', {readonly flip: boolean}>(
     (state, {flip}) => {
-      worked++;
+      computed++;
       if (!flip) return state;
       return state === 'on' ? 'off' : 'on';
     },
@@ -15,5 +15,5 @@
     t.is(step('on', {flip: false}), 'on');
     t.is(step('off', {flip: true}), 'on');
   }
-  t.is(worked, 3);
+  t.is(computed, 3);
 });
--- a/packages/core/src/test/process/online_gate_test.ts
+++ b/packages/core/src/test/process/online_gate_test.ts
@@ -1,9 +1,9 @@
 import test from 'ava';
-import {OnlineGate} from '../../lib/process/online_gate.js';
+import {OnlineLimiter} from '../../lib/process/online_gate.js';
 import type {RunningSet} from '../../lib/process/running_set.js';
 import type {StepModel} from '../../lib/process/step_model.js';
 
-const MODEL = {ready: true, largestSeen: 64, streamsWithin: () => 64};
+const MODEL = {ready: true, maxObservedStreams: 64, streamsWithin: () => 64};
 const POOL = {
   pool: 'review-llm',
   kind: 'model',
@@ -13,9 +13,12 @@
   maxOnline: 64,
 } as const;
 
-function gateWith(waiting: number): OnlineGate {
-  const gate = new OnlineGate(MODEL as unknown as StepModel, {} as RunningSet);
-  gate.report({
+function stalledLimiter(waiting: number): OnlineLimiter {
+  const limiter = new OnlineLimiter(
+    MODEL as unknown as StepModel,
+    {} as RunningSet,
+  );
+  limiter.report({
     running: 2,
     waiting,
     kvTokensUsed: 0,
@@ -23,17 +26,17 @@
     ageMs: 0,
     versions: [],
   });
-  for (let step = 0; step < 5; step++) gate.watchCeiling(true, 2, step);
-  return gate;
+  for (let step = 0; step < 5; step++) limiter.updateStreamLimit(true, 2, step);
+  return limiter;
 }
 
-// A stream's connection to the engine is slow to open, and for some steps it
-// gets no token. Taken for a full engine, that closed the target to online work
-// for many minutes: callers were refused as overloaded beside an idle engine.
-test('a stalled stream closes no target whose engine queues nothing', t => {
-  t.is(gateWith(0).capacity(POOL), 64);
+// A stream whose connection to the engine is slow to open gets no token for some
+// steps. If that is mistaken for a full engine, the target refuses online
+// requests as overloaded for many minutes although the engine is idle.
+test('a stalled stream does not limit an engine without a queue', t => {
+  t.is(stalledLimiter(0).capacity(POOL), 64);
 });
 
-test('a stalled stream bounds a target whose engine queues', t => {
-  t.is(gateWith(3).capacity(POOL), 2);
+test('a stalled stream limits an engine with a queue', t => {
+  t.is(stalledLimiter(3).capacity(POOL), 2);
 });
