--- a/packages/core/src/test/process/prompt_cache_test.ts
+++ b/packages/core/src/test/process/prompt_cache_test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import {PromptCache} from '../../lib/process/prompt_cache.js';
+import {PrefixCacheModel} from '../../lib/process/prompt_cache.js';
 import type {AdmissionRequest} from '../../lib/process/admission.js';
 
 const REQUEST: AdmissionRequest = {
@@ -14,32 +14,32 @@
   resumedTokens: 100,
 };
 
-test('what was computed lately is cached, but for the last block', t => {
-  const cache = new PromptCache();
-  t.is(cache.left(REQUEST), 600);
-  cache.keep('b0', 600);
-  t.is(cache.left(REQUEST), 600 - 576);
+test('recently computed tokens are cached except for the last partial block', t => {
+  const cache = new PrefixCacheModel();
+  t.is(cache.tokensToPrefill(REQUEST), 600);
+  cache.recordCached('b0', 600);
+  t.is(cache.tokensToPrefill(REQUEST), 600 - 576);
 });
 
-test('is believed until the engine has computed too much since', t => {
-  // Streams that were preempted long ago were taken up again all at once as if
-  // they were cached. The engine had evicted them and prefilled for seconds,
-  // and online requests waited behind that.
-  const cache = new PromptCache();
-  cache.setMemory(10_000);
-  cache.keep('b0', 600);
-  for (let i = 0; i < 400; i++) cache.check(0);
-  cache.add(3_000);
-  t.is(cache.left(REQUEST), 24);
-  cache.add(1_000);
-  t.is(cache.left(REQUEST), 600);
+test('a prefix is assumed cached until the engine has computed too much since', t => {
+  // If streams that were preempted long ago are assumed to be cached, they are
+  // resumed all at once. The engine has evicted them, so it prefills for
+  // seconds, and online requests wait behind that.
+  const cache = new PrefixCacheModel();
+  cache.setMemoryTokens(10_000);
+  cache.recordCached('b0', 600);
+  for (let i = 0; i < 400; i++) cache.adjustRetention(0);
+  cache.recordComputed(3_000);
+  t.is(cache.tokensToPrefill(REQUEST), 24);
+  cache.recordComputed(1_000);
+  t.is(cache.tokensToPrefill(REQUEST), 600);
 });
 
-test('unexplained prefill shrinks what is believed', t => {
-  const cache = new PromptCache();
-  const before = cache.trustedTokens;
-  cache.check(1_000);
-  t.true(cache.trustedTokens < before);
-  for (let i = 0; i < 1_000; i++) cache.check(0);
-  t.is(cache.trustedTokens, before);
+test('unexpected prefill reduces the retention', t => {
+  const cache = new PrefixCacheModel();
+  const before = cache.retentionTokens;
+  cache.adjustRetention(1_000);
+  t.true(cache.retentionTokens < before);
+  for (let i = 0; i < 1_000; i++) cache.adjustRetention(0);
+  t.is(cache.retentionTokens, before);
 });
--- a/packages/core/src/test/process/step_clock_test.ts
+++ b/packages/core/src/test/process/step_clock_test.ts
@@ -1,8 +1,8 @@
 import test from 'ava';
-import {StepClock} from '../../lib/process/step_clock.js';
+import {StepDetector} from '../../lib/process/step_clock.js';
 
-test('a stream that gets its next token ends a step', t => {
-  const clock = new StepClock();
+test('the next token of a stream ends a step', t => {
+  const clock = new StepDetector();
   clock.begin(0);
   t.is(clock.token('a', 50), 50);
   t.is(clock.token('b', 50), undefined);
@@ -11,16 +11,16 @@
   t.is(clock.since, 70);
 });
 
-test('a new stream ends a step when the old ones are gone', t => {
-  const clock = new StepClock();
+test('a token of a new stream ends a step when the old streams have ended', t => {
+  const clock = new StepDetector();
   clock.begin(0);
   clock.token('a', 20);
   t.is(clock.token('a', 40), 20);
   t.is(clock.token('b', 61), 21);
 });
 
-test('an idle engine has no step', t => {
-  const clock = new StepClock();
+test('an idle engine has no step in progress', t => {
+  const clock = new StepDetector();
   clock.begin(0);
   clock.token('a', 20);
   clock.idle();
