--- a/packages/core/src/lib/process/batch_controller.ts
+++ b/packages/core/src/lib/process/batch_controller.ts
@@ -123,8 +123,8 @@
   surplus(cfg: PoolConfig): number;
   /**
    * @param cfg - The configuration of the pool.
-   * @returns The number of tokens of a longer batch prompt that may be prefilled
-   *     now as a chunk; 0 for none.
+   * @returns The number of tokens of a longer batch prompt that may be
+   *     prefilled now as a chunk; 0 for none.
    */
   pieceTokens(cfg: PoolConfig): number;
 }
@@ -245,9 +245,9 @@
   }
 
   /**
-   * Beside many streams, a long prompt would make a step too long. Engines cache
-   * the tokens they have prefilled, so such a prompt is prefilled in chunks that
-   * fit into one step each.
+   * Beside many streams, a long prompt would make a step too long. Engines
+   * cache the tokens they have prefilled, so such a prompt is prefilled in
+   * chunks that fit into one step each.
    */
   pieceTokens(cfg: PoolConfig): number {
     const {online, batch} = this.running;
@@ -274,7 +274,9 @@
     return batch.kvTokens > this.prefixCache.retentionTokens;
   }
 
-  /** Whether prefilling batch prompts makes steps too long for online streams. */
+  /**
+   * Whether prefilling batch prompts makes steps too long for online streams.
+   */
   private prefillTooLong(
     streams: number,
     prefillTokens: number,
@@ -316,8 +318,8 @@
     if (!this.model.ready) return this.tuning.probeStreams - streams;
     const plannedMs = this.plannedStepMs(cfg, streams, prefillTokens);
     const whileDecoding = this.streamsWithin(plannedMs, 0) - streams;
-    // No online stream waits for a token during the prefill, but the new request
-    // decodes after it.
+    // No online stream waits for a token during the prefill, but the new
+    // request decodes after it.
     if (this.running.online.decoding === 0) return whileDecoding;
     return Math.min(
       whileDecoding,
@@ -436,7 +438,8 @@
 
   /**
    * The longest step allowed beside the current online work, in milliseconds.
-   * Without online work, a step only delays requests that arrive before it ends.
+   * Without online work, a step only delays requests that arrive before it
+   * ends.
    */
   private currentStepLimitMs(cfg: PoolConfig): number {
     const {running, prefillTokens} = this.running.online;
@@ -449,7 +452,9 @@
     return plannedSlowdown(cfg.batch, this.tuning.slowdownMargin);
   }
 
-  /** Tokens in the KV cache once all running requests have finished decoding. */
+  /**
+   * Tokens in the KV cache once all running requests have finished decoding.
+   */
   private kvAtEnd(): number {
     return this.running.online.kvAtEnd + this.running.batch.kvAtEnd;
   }
--- a/packages/core/src/lib/process/engine_admission.ts
+++ b/packages/core/src/lib/process/engine_admission.ts
@@ -67,9 +67,9 @@
   };
 
   /**
-   * @param buildBatchLimiter - Builds the policy that bounds batch work at the model
-   *     engine. The default bounds it by the measured interference with online
-   *     work.
+   * @param buildBatchLimiter - Builds the policy that bounds batch work at the
+   *     model engine. The default bounds it by the measured interference with
+   *     online work.
    */
   constructor(buildBatchLimiter?: (observer: EngineSenses) => BatchRule) {
     this.engine = new EngineScheduler(buildBatchLimiter);
--- a/packages/core/src/lib/process/engine_client.ts
+++ b/packages/core/src/lib/process/engine_client.ts
@@ -1,6 +1,6 @@
 /**
- * The interfaces through which a target process uses the engine or plain service
- * that it fronts. Supporting another engine protocol takes one new
+ * The interfaces through which a target process uses the engine or plain
+ * service that it fronts. Supporting another engine protocol takes one new
  * implementation.
  */
 import type {Order, OrderOutcome} from './order.js';
--- a/packages/core/src/lib/process/engine_lane.ts
+++ b/packages/core/src/lib/process/engine_lane.ts
@@ -232,7 +232,9 @@
     return now - since >= maxWaitMs;
   }
 
-  /** Preempts a running batch suspect, like any batch stream, for online work. */
+  /**
+   * Preempts a running batch suspect, like any batch stream, for online work.
+   */
   private preemptSuspect(actions: Actions): void {
     if (this.queues.online.size === 0) return;
     for (const batch of this.running.preemptibleBatch()) {
@@ -287,7 +289,9 @@
     if (this.supportsChunkedPrefill) this.startChunk(now, actions);
   }
 
-  /** Starts a prefill chunk of a prompt that is too long to start as a whole. */
+  /**
+   * Starts a prefill chunk of a prompt that is too long to start as a whole.
+   */
   private startChunk(now: number, actions: Actions): void {
     const cfg = this.anyPool();
     if (cfg === undefined) return;
--- a/packages/core/src/lib/process/engine_senses.ts
+++ b/packages/core/src/lib/process/engine_senses.ts
@@ -119,7 +119,8 @@
    * @param count - The number of tokens.
    * @param now - Current time.
    * @param limitMs - The longest acceptable step.
-   * @returns Whether the tokens are the first ones observed of a completed step.
+   * @returns Whether the tokens are the first ones observed of a completed
+   *     step.
    */
   tokens(id: string, count: number, now: number, limitMs: number): boolean {
     const stepEnded = this.detectStepEnd(id, now, limitMs);
@@ -145,8 +146,8 @@
     const running = this.running.end(id);
     if (running === undefined) return undefined;
     this.stepSequences -= 1;
-    // If the request was stopped during prefill, the tokens prefilled until then
-    // count for the period, although their result is lost.
+    // If the request was stopped during prefill, the tokens prefilled until
+    // then count for the period, although their result is lost.
     if (running.prefilling) {
       const left = chunkDone ? 0 : running.prefillLeft;
       this.recordPrefillDone(running.prefillTokens - left);
--- a/packages/core/src/lib/process/fair_queue.ts
+++ b/packages/core/src/lib/process/fair_queue.ts
@@ -185,8 +185,8 @@
   }
 
   /**
-   * The recent service in tokens that a caller of weight 1 would have had if all
-   * had been served in proportion to their weights.
+   * The recent service in tokens that a caller of weight 1 would have had if
+   * all had been served in proportion to their weights.
    */
   private fairShare(): number {
     let served = 0;
--- a/packages/core/src/lib/process/harm_meter.ts
+++ b/packages/core/src/lib/process/harm_meter.ts
@@ -1,9 +1,9 @@
 /**
  * Measures the interference of batch work with the tail latency of online work
- * while both run. For each step it records the actual duration and the estimated
- * duration without the batch streams. The quantiles of the latter are the
- * baseline of online requests; the controller keeps the actual latency within a
- * configured ratio of it.
+ * while both run. For each step it records the actual duration and the
+ * estimated duration without the batch streams. The quantiles of the latter are
+ * the baseline of online requests; the controller keeps the actual latency
+ * within a configured ratio of it.
  */
 import {BaselineQueue} from './alone_queue.js';
 import type {BaselineDemand} from './alone_queue.js';
@@ -33,8 +33,8 @@
 const FIRST_TOKEN_WINDOW = 4_000;
 const FIRST_TOKEN_REFRESH = 5;
 /**
- * Share of the tokens beyond the tail quantile that the error budget grants. The
- * rest is a reserve for prediction errors.
+ * Share of the tokens beyond the tail quantile that the error budget grants.
+ * The rest is a reserve for prediction errors.
  */
 const ERROR_BUDGET_SHARE = 0.8;
 /** Bound of the error budget in either direction, in late online tokens. */
@@ -119,16 +119,16 @@
   }
 
   /**
-   * Quantiles of the time between tokens without batch work, ascending up to the
-   * p99, in milliseconds.
+   * Quantiles of the time between tokens without batch work, ascending up to
+   * the p99, in milliseconds.
    */
   get baselineStepQuantiles(): readonly number[] {
     return this.baselineStep.values;
   }
 
   /**
-   * Quantiles of the time to first token without batch work, ascending up to the
-   * p99, in milliseconds.
+   * Quantiles of the time to first token without batch work, ascending up to
+   * the p99, in milliseconds.
    */
   get baselineFirstTokenQuantiles(): readonly number[] {
     return this.baselineFirstToken.values;
@@ -179,9 +179,9 @@
   }
 
   /**
-   * Updates the error budget. The p99 holds while at most one token in a hundred
-   * is later, whichever tokens those are. The late tokens that online work does
-   * not cause itself are therefore available to batch work.
+   * Updates the error budget. The p99 holds while at most one token in a
+   * hundred is later, whichever tokens those are. The late tokens that online
+   * work does not cause itself are therefore available to batch work.
    */
   private updateErrorBudget(tokens: number, late: boolean): void {
     const earned = (1 - TAIL_QUANTILE) * ERROR_BUDGET_SHARE * tokens;
--- a/packages/core/src/lib/process/latency_limit.ts
+++ b/packages/core/src/lib/process/latency_limit.ts
@@ -1,8 +1,8 @@
 /**
  * An adaptive concurrency limit for a plain service, which streams no tokens to
  * measure. The limit follows the measured latency: it grows while calls take
- * about as long as under low load, and shrinks when they take much longer, which
- * means that they are queued inside the service.
+ * about as long as under low load, and shrinks when they take much longer,
+ * which means that they are queued inside the service.
  */
 
 /** Growth of the limit per `limit` calls (additive increase). */
--- a/packages/core/src/lib/process/load_report.ts
+++ b/packages/core/src/lib/process/load_report.ts
@@ -37,8 +37,8 @@
   readonly prefillTokens: number;
   /**
    * Predicted duration of one engine step with the current online streams, or
-   * mean latency of a plain service, in milliseconds. Over several backends, the
-   * maximum.
+   * mean latency of a plain service, in milliseconds. Over several backends,
+   * the maximum.
    */
   readonly stepMs: number;
   /** Whether the engine is unresponsive. */
--- a/packages/core/src/lib/process/memoized_step.ts
+++ b/packages/core/src/lib/process/memoized_step.ts
@@ -1,9 +1,9 @@
 /**
- * Memoized transitions of state machines without context. A transition in xstate
- * takes about 35 µs, so cancelling 61,000 items in one turn would block the
- * event loop for two seconds. Such a machine is a finite transition table:
- * xstate computes each entry when it is first needed, and later transitions look
- * it up.
+ * Memoized transitions of state machines without context. A transition in
+ * xstate takes about 35 µs, so cancelling 61,000 items in one turn would block
+ * the event loop for two seconds. Such a machine is a finite transition table:
+ * xstate computes each entry when it is first needed, and later transitions
+ * look it up.
  */
 
 /** The transition function of a state machine. */
--- a/packages/core/src/lib/process/online_gate.ts
+++ b/packages/core/src/lib/process/online_gate.ts
@@ -1,8 +1,8 @@
 /**
- * Bounds the concurrent online work of an engine by measurements: by the streams
- * that keep a step within the latency objective between tokens, by the prompt
- * tokens that can be prefilled within the latency objective for the first token,
- * and by the memory of the engine.
+ * Bounds the concurrent online work of an engine by measurements: by the
+ * streams that keep a step within the latency objective between tokens, by the
+ * prompt tokens that can be prefilled within the latency objective for the
+ * first token, and by the memory of the engine.
  */
 import type {AdmissionRequest} from './admission.js';
 import type {EngineLoad} from './engine_client.js';
@@ -63,10 +63,10 @@
   }
 
   /**
-   * Updates the detected stream limit after a step. An engine that left requests
-   * waiting and prefilled nothing has no free slot. It does not report its limit
-   * or its queue in time, and an online request behind that queue would wait
-   * long.
+   * Updates the detected stream limit after a step. An engine that left
+   * requests waiting and prefilled nothing has no free slot. It does not report
+   * its limit or its queue in time, and an online request behind that queue
+   * would wait long.
    *
    * @param stalled - Whether requests waited and the step prefilled nothing.
    * @param streams - Number of streams that got a token in the step.
@@ -86,11 +86,11 @@
   }
 
   /**
-   * Whether the engine may have a queue. A stream without a token for some steps
-   * may be queued inside the engine, or its connection may have been slow to
-   * open. If a slow connection is mistaken for a queue, the target refuses
-   * almost all online work for many minutes. A report of the engine that nothing
-   * is queued is therefore trusted.
+   * Whether the engine may have a queue. A stream without a token for some
+   * steps may be queued inside the engine, or its connection may have been slow
+   * to open. If a slow connection is mistaken for a queue, the target refuses
+   * almost all online work for many minutes. A report of the engine that
+   * nothing is queued is therefore trusted.
    */
   private get mayHaveQueue(): boolean {
     return this.lastLoad === undefined || this.lastLoad.waiting > 0;
@@ -104,8 +104,8 @@
 
   /**
    * @param cfg - The configuration of the pool.
-   * @returns The number of online requests that may run concurrently, at least 1
-   *     once measured.
+   * @returns The number of online requests that may run concurrently, at least
+   *     1 once measured.
    */
   capacity(cfg: PoolConfig): number {
     if (!this.model.ready) return Math.min(INITIAL_CAPACITY, cfg.maxOnline);
@@ -126,8 +126,8 @@
   /**
    * @param request - An online request.
    * @param cfg - The configuration of its pool.
-   * @returns Whether the engine can take the request now. Batch work is ignored,
-   *     because it can be preempted.
+   * @returns Whether the engine can take the request now. Batch work is
+   *     ignored, because it can be preempted.
    */
   admits(request: AdmissionRequest, cfg: PoolConfig): boolean {
     const {online} = this.running;
--- a/packages/core/src/lib/process/prompt_cache.ts
+++ b/packages/core/src/lib/process/prompt_cache.ts
@@ -8,17 +8,17 @@
 import {CACHE_MISS_TOKENS} from './running_set.js';
 
 /**
- * Block size to which cached prefixes are rounded down, in tokens. Engines cache
- * whole blocks, and this is a multiple of the common block sizes.
+ * Block size to which cached prefixes are rounded down, in tokens. Engines
+ * cache whole blocks, and this is a multiple of the common block sizes.
  */
 export const BLOCK_TOKENS = 64;
 /** Number of requests that are tracked. */
 const MAX_TRACKED_REQUESTS = 256;
 /**
  * Upper bound of the retention, as a share of the engine's KV cache memory. An
- * engine evicts the least recently used blocks. A prefix is assumed to be cached
- * until the engine has computed as many tokens since as the retention. The bound
- * is conservative, because a wrong assumption causes a long step.
+ * engine evicts the least recently used blocks. A prefix is assumed to be
+ * cached until the engine has computed as many tokens since as the retention.
+ * The bound is conservative, because a wrong assumption causes a long step.
  */
 const MAX_RETENTION_SHARE = 0.35;
 /** Initial retention, and its upper bound while the memory is unknown. */
@@ -61,8 +61,8 @@
   /**
    * Adjusts the retention after a step.
    *
-   * @param unexpectedTokens - Tokens that the engine prefilled in the step beyond
-   *     the estimated remainder of all prompts.
+   * @param unexpectedTokens - Tokens that the engine prefilled in the step
+   *     beyond the estimated remainder of all prompts.
    */
   adjustRetention(unexpectedTokens: number): void {
     const missed = unexpectedTokens > CACHE_MISS_TOKENS;
--- a/packages/core/src/lib/process/recent_quantile.ts
+++ b/packages/core/src/lib/process/recent_quantile.ts
@@ -72,7 +72,9 @@
     return this.cached;
   }
 
-  /** The highest of the quantiles, in milliseconds; 0 before the first sample. */
+  /**
+   * The highest of the quantiles, in milliseconds; 0 before the first sample.
+   */
   get value(): number {
     return this.values.at(-1) ?? 0;
   }
--- a/packages/core/src/lib/process/running_set.ts
+++ b/packages/core/src/lib/process/running_set.ts
@@ -1,6 +1,6 @@
 /**
- * The requests at an engine or service. The totals that scheduling decisions use
- * are updated incrementally, so that no decision iterates over the streams.
+ * The requests at an engine or service. The totals that scheduling decisions
+ * use are updated incrementally, so that no decision iterates over the streams.
  */
 import type {AdmissionRequest} from './admission.js';
 import type {ServeClass} from '../request/serve.js';
@@ -183,8 +183,8 @@
   }
 
   /**
-   * Marks a request as stopping and removes it from the totals. The engine still
-   * holds it and works on it until the current step ends.
+   * Marks a request as stopping and removes it from the totals. The engine
+   * still holds it and works on it until the current step ends.
    *
    * @param running - The request that is told to stop.
    */
@@ -237,8 +237,9 @@
 
   /**
    * Corrects the estimates after unexpected prefill. The engine prefilled more
-   * than the estimated remainder, so prefixes that were assumed to be cached are
-   * not. Requests without a first token are assumed to prefill them as well.
+   * than the estimated remainder, so prefixes that were assumed to be cached
+   * are not. Requests without a first token are assumed to prefill them as
+   * well.
    */
   private assumeCacheMiss(): void {
     for (const running of this.prefilling) {
@@ -256,7 +257,8 @@
 
   /**
    * @param time - Time in milliseconds.
-   * @returns Whether a request that was started earlier is still being prefilled.
+   * @returns Whether a request that was started earlier is still being
+   *     prefilled.
    */
   hasPrefillStartedBefore(time: number): boolean {
     for (const {startedAt} of this.prefilling) {
@@ -267,9 +269,9 @@
 
   /**
    * @returns Batch streams that can be preempted and are not stopping, newest
-   *     first. Requests that must not run twice are excluded: the target process
-   *     does not carry out their preemption, so they would be counted as stopping
-   *     while they keep running.
+   *     first. Requests that must not run twice are excluded: the target
+   *     process does not carry out their preemption, so they would be counted
+   *     as stopping while they keep running.
    */
   preemptibleBatch(): readonly RunningRequest[] {
     return [...this.byId.values()]
--- a/packages/core/src/lib/process/service_lane.ts
+++ b/packages/core/src/lib/process/service_lane.ts
@@ -1,8 +1,9 @@
 /**
  * Schedules the calls to one plain service. The number of concurrent calls is
- * bounded by their latency. Online calls are queued for a short time or refused.
- * Batch calls use idle slots only and leave one slot free. A running call cannot
- * be preempted, so batch calls never occupy more than half of the slots.
+ * bounded by their latency. Online calls are queued for a short time or
+ * refused. Batch calls use idle slots only and leave one slot free. A running
+ * call cannot be preempted, so batch calls never occupy more than half of the
+ * slots.
  */
 import type {
   AdmissionAction,
--- a/packages/core/src/lib/process/service_pace.ts
+++ b/packages/core/src/lib/process/service_pace.ts
@@ -1,7 +1,7 @@
 /**
- * Estimates how long the targets of a service take for a request. Only runs that
- * found a free slot are measured: time spent waiting for a slot would otherwise
- * be counted twice.
+ * Estimates how long the targets of a service take for a request. Only runs
+ * that found a free slot are measured: time spent waiting for a slot would
+ * otherwise be counted twice.
  */
 
 /** Latency of a run at a target with a free slot. */
@@ -18,8 +18,8 @@
  */
 const NEWEST_WEIGHT = 0.02;
 /**
- * Number of runs before the mean is used. While there are few runs, each of them
- * has the same weight.
+ * Number of runs before the mean is used. While there are few runs, each of
+ * them has the same weight.
  */
 const MIN_RUNS = 5;
 
--- a/packages/core/src/lib/process/step_clock.ts
+++ b/packages/core/src/lib/process/step_clock.ts
@@ -5,8 +5,8 @@
  */
 
 /**
- * Share of the duration of the last step after which a token belongs to the next
- * step. The tokens of one step arrive together.
+ * Share of the duration of the last step after which a token belongs to the
+ * next step. The tokens of one step arrive together.
  */
 const NEXT_STEP_SHARE = 0.5;
 
@@ -27,7 +27,8 @@
   /**
    * Starts the first step of an idle engine. Has no effect during a step.
    *
-   * @param now - Time at which the engine was sent the request, in milliseconds.
+   * @param now - Time at which the engine was sent the request, in
+   *     milliseconds.
    */
   begin(now: number): void {
     this.startedAt ??= now;
@@ -38,8 +39,8 @@
    *
    * @param id - The id of the stream.
    * @param now - Time in milliseconds.
-   * @returns The duration of the step that the token completes, in milliseconds;
-   *     undefined if it is not the first token of that step.
+   * @returns The duration of the step that the token completes, in
+   *     milliseconds; undefined if it is not the first token of that step.
    */
   token(id: string, now: number): number | undefined {
     const startedAt = this.startedAt;
--- a/packages/core/src/lib/process/step_model.ts
+++ b/packages/core/src/lib/process/step_model.ts
@@ -1,8 +1,8 @@
 /**
  * A linear model of the step duration of an engine, fitted to observed steps: a
  * fixed cost, a cost per stream and a cost per prefilled prompt token. It
- * predicts how a start will affect the running streams, and how long steps would
- * have taken without batch work.
+ * predicts how a start will affect the running streams, and how long steps
+ * would have taken without batch work.
  */
 
 /** The work of an engine during one step. */
@@ -87,8 +87,8 @@
 
   /**
    * @param tokens - A number of prompt tokens.
-   * @returns The time to prefill them, in milliseconds, without the fixed cost of
-   *     the steps.
+   * @returns The time to prefill them, in milliseconds, without the fixed cost
+   *     of the steps.
    */
   prefillMs(tokens: number): number {
     return tokens * this.msPerPrefillToken;
@@ -119,9 +119,9 @@
   }
 
   /**
-   * Updates the cost of a prompt token after a period of continuous prefill. How
-   * much of a batch prompt is cached is only an estimate, so once there was a
-   * period with online prompts only, other periods are ignored.
+   * Updates the cost of a prompt token after a period of continuous prefill.
+   * How much of a batch prompt is cached is only an estimate, so once there was
+   * a period with online prompts only, other periods are ignored.
    *
    * @param tokens - Number of prompt tokens prefilled in the period.
    * @param onlineOnly - Whether only online prompts were prefilled.
@@ -149,8 +149,8 @@
   /**
    * @param durationMs - Duration of a step, in milliseconds.
    * @param streams - Number of streams that got a token in it.
-   * @returns The number of prompt tokens prefilled in the step, derived from its
-   *     duration.
+   * @returns The number of prompt tokens prefilled in the step, derived from
+   *     its duration.
    */
   prefilledIn(durationMs: number, streams: number): number {
     const extraMs = durationMs - this.base - this.slope * streams;
@@ -188,9 +188,10 @@
   }
 
   /**
-   * Whether a step is an outlier that the fit ignores. A step may include unknown
-   * work, and one such step would distort the fit for a long time. Consecutive
-   * outliers mean that the engine has changed, so the model is reset.
+   * Whether a step is an outlier that the fit ignores. A step may include
+   * unknown work, and one such step would distort the fit for a long time.
+   * Consecutive outliers mean that the engine has changed, so the model is
+   * reset.
    */
   private isOutlier(durationMs: number, work: StepWork): boolean {
     const expected = this.predict(work);
@@ -221,8 +222,8 @@
       this.sumStreamsSquared / this.weight - meanStreams * meanStreams;
     const covariance =
       this.sumStreamsDuration / this.weight - meanStreams * meanDuration;
-    // If the number of streams hardly varies, the slope is noise, so the previous
-    // one is kept.
+    // If the number of streams hardly varies, the slope is noise, so the
+    // previous one is kept.
     if (variance > MIN_STREAM_VARIANCE) {
       this.hasStreamVariation = true;
       this.slope = Math.max(0, covariance / variance);
--- a/packages/core/src/lib/process/waiting_room.ts
+++ b/packages/core/src/lib/process/waiting_room.ts
@@ -9,8 +9,8 @@
 import {notRun} from '../request/refusal.js';
 
 /**
- * Time in the queue after which a batch request is returned to the entry process
- * that sent it, so that another target can run it.
+ * Time in the queue after which a batch request is returned to the entry
+ * process that sent it, so that another target can run it.
  */
 const MAX_BATCH_WAIT_MS = 15_000;
 
--- a/packages/core/src/test/process/alone_queue_test.ts
+++ b/packages/core/src/test/process/alone_queue_test.ts
@@ -16,7 +16,7 @@
   t.is(queue.firstToken('r0'), undefined);
 });
 
-test('prompts wait for earlier ones, but not for requests that have ended', t => {
+test('a prompt waits for earlier ones, but not for ended requests', t => {
   const queue = new BaselineQueue();
   queue.arrived('r0', NEED, 0);
   queue.arrived('r1', NEED, 0);
--- a/packages/core/src/test/process/engine_admission_test.ts
+++ b/packages/core/src/test/process/engine_admission_test.ts
@@ -92,9 +92,9 @@
   }
 });
 
-test('an online arrival preempts the newest batch streams in the same call', t => {
-  // An online request arrives while batch work fills the engine. If batch streams
-  // were only left to finish, steps would stay too long until then.
+test('an online arrival preempts the newest batch streams at once', t => {
+  // An online request arrives while batch work fills the engine. If batch
+  // streams were only left to finish, steps would stay too long until then.
   const admission = configured();
   const batch = ['b0', 'b1', 'b2', 'b3'];
   // Enough requests for the baseline p99 to be used.
@@ -108,8 +108,8 @@
   arrive(admission, now, ...batch.map(id => request(id, {class: 'batch'})));
   now = runSteps(admission, batch, now, 80);
   t.is(admission.load().batchRunning, batch.length);
-  // Shortly before the step ends, because preemption cannot shorten the remainder
-  // of a step, which delays the first token.
+  // Shortly before the step ends, because preemption cannot shorten the
+  // remainder of a step, which delays the first token.
   const actions = arrive(admission, now + 11.9, request('late'));
   t.is(actions.at(-1)!.kind, 'start');
   const preempted = actions
@@ -121,9 +121,9 @@
 });
 
 test('preempts all batch streams while the baseline tail is unknown', t => {
-  // Under low traffic there are few online requests, and the slowest of a few is
-  // no p99. If it is used as one, an ordinary request waits behind an engine full
-  // of batch work.
+  // Under low traffic there are few online requests, and the slowest of a few
+  // is no p99. If it is used as one, an ordinary request waits behind an engine
+  // full of batch work.
   const admission = configured();
   const batch = ['b0', 'b1', 'b2', 'b3'];
   let now = 0;
@@ -155,9 +155,9 @@
 });
 
 // When a target crashes with many batch items in flight, every item comes back
-// as a suspect. If batch work is started while the engine is being emptied for a
-// suspect, it is preempted for the next suspect and started again, in an endless
-// loop within one turn of the event loop.
+// as a suspect. If batch work is started while the engine is being emptied for
+// a suspect, it is preempted for the next suspect and started again, in an
+// endless loop within one turn of the event loop.
 test('many batch suspects run one after the other', t => {
   const admission = configured();
   const suspects = ['s0', 's1', 's2'];
@@ -230,7 +230,7 @@
   );
 });
 
-test('a plain service has its own slots and reserves one for online calls', t => {
+test('a service has its own slots and reserves one for online calls', t => {
   const admission = configured();
   const calls = Array.from({length: 6}, (unused, i) =>
     request(`c${i}`, {pool: 'limit-api', class: 'batch'}),
--- a/packages/core/src/test/process/harm_guard_test.ts
+++ b/packages/core/src/test/process/harm_guard_test.ts
@@ -15,7 +15,7 @@
   t.is(plannedSlowdown(policy(0), 0.4), 1);
 });
 
-test('at weight 1 durations may grow to the tail, and those above it stay', t => {
+test('at weight 1 durations grow to the tail, and those above it stay', t => {
   const allowed = [5, 60, 120].map(ms =>
     allowedDurationMs(policy(1), ms, QUANTILES),
   );
--- a/packages/core/src/test/process/latency_limit_test.ts
+++ b/packages/core/src/test/process/latency_limit_test.ts
@@ -4,7 +4,9 @@
 const MAX_CALLS = 100;
 const SLOTS = 40;
 
-/** Simulates a service with 40 slots that answers in 10 ms until they are full. */
+/**
+ * Simulates a service with 40 slots that answers in 10 ms until they are full.
+ */
 function serve(limit: ConcurrencyLimit, calls: number): void {
   for (let i = 0; i < calls; i++) {
     const running = limit.capacity(MAX_CALLS);
--- a/packages/core/src/test/process/online_gate_test.ts
+++ b/packages/core/src/test/process/online_gate_test.ts
@@ -30,8 +30,8 @@
   return limiter;
 }
 
-// A stream whose connection to the engine is slow to open gets no token for some
-// steps. If that is mistaken for a full engine, the target refuses online
+// A stream whose connection to the engine is slow to open gets no token for
+// some steps. If that is mistaken for a full engine, the target refuses online
 // requests as overloaded for many minutes although the engine is idle.
 test('a stalled stream does not limit an engine without a queue', t => {
   t.is(stalledLimiter(0).capacity(POOL), 64);
--- a/packages/core/src/test/process/prompt_cache_test.ts
+++ b/packages/core/src/test/process/prompt_cache_test.ts
@@ -14,14 +14,14 @@
   resumedTokens: 100,
 };
 
-test('recently computed tokens are cached except for the last partial block', t => {
+test('recently computed tokens are cached except for a partial block', t => {
   const cache = new PrefixCacheModel();
   t.is(cache.tokensToPrefill(REQUEST), 600);
   cache.recordCached('b0', 600);
   t.is(cache.tokensToPrefill(REQUEST), 600 - 576);
 });
 
-test('a prefix is assumed cached until the engine has computed too much since', t => {
+test('a prefix is assumed cached until too much is computed since', t => {
   // If streams that were preempted long ago are assumed to be cached, they are
   // resumed all at once. The engine has evicted them, so it prefills for
   // seconds, and online requests wait behind that.
--- a/packages/core/src/test/process/step_clock_test.ts
+++ b/packages/core/src/test/process/step_clock_test.ts
@@ -11,7 +11,7 @@
   t.is(clock.since, 70);
 });
 
-test('a token of a new stream ends a step when the old streams have ended', t => {
+test('a token of a new stream ends a step if the old ones have ended', t => {
   const clock = new StepDetector();
   clock.begin(0);
   clock.token('a', 20);
