--- a/packages/core/src/lib/process/engine_admission.ts
+++ b/packages/core/src/lib/process/engine_admission.ts
@@ -108,10 +108,7 @@
   ): readonly AdmissionAction[] {
     const scheduler = this.schedulerByPool.get(request.pool);
     if (scheduler === undefined) {
-      const refusal = notRun(
-        'no-target',
-        'This target does not serve the requested pool.',
-      );
+      const refusal = notRun('no-target', 'This target does not serve that.');
       return [{kind: 'refuse', id: request.id, refusal}];
     }
     this.schedulerById.set(request.id, scheduler);
--- a/packages/core/src/lib/process/engine_lane.ts
+++ b/packages/core/src/lib/process/engine_lane.ts
@@ -376,14 +376,11 @@
 function drainingRejection(request: AdmissionRequest): AdmissionAction {
   const {id} = request;
   if (request.class === 'batch') return {kind: 'give-back', id};
-  const refusal = notRun(
-    'leaving',
-    'The target is draining and accepts no new requests.',
-  );
+  const refusal = notRun('leaving', 'This target takes no new work.');
   return {kind: 'refuse', id, refusal};
 }
 
 function overloadRefusal(waitMs: number): Refusal {
   const retryAfterMs = Math.max(MIN_RETRY_AFTER_MS, Math.ceil(waitMs));
-  return notRun('overloaded', 'The target is at capacity.', retryAfterMs);
+  return notRun('overloaded', 'The target has no room.', retryAfterMs);
 }
--- a/packages/core/src/lib/process/service_lane.ts
+++ b/packages/core/src/lib/process/service_lane.ts
@@ -163,10 +163,7 @@
     class: kind,
   }: AdmissionRequest): AdmissionAction {
     if (kind === 'batch') return {kind: 'give-back', id};
-    const refusal = notRun(
-      'leaving',
-      'The target is draining and accepts no new requests.',
-    );
+    const refusal = notRun('leaving', 'This target takes no new work.');
     return {kind: 'refuse', id, refusal};
   }
 
@@ -174,6 +171,6 @@
     const waitMs =
       (this.queues.online.size * this.limit.meanMs) / this.concurrencyLimit;
     const retryAfterMs = Math.max(MIN_RETRY_AFTER_MS, Math.ceil(waitMs));
-    return notRun('overloaded', 'The service is at capacity.', retryAfterMs);
+    return notRun('overloaded', 'The service has no room.', retryAfterMs);
   }
 }
--- a/packages/core/src/lib/process/waiting_room.ts
+++ b/packages/core/src/lib/process/waiting_room.ts
@@ -99,9 +99,6 @@
 }
 
 function deadlineRefusal(request: AdmissionRequest): AdmissionAction {
-  const refusal = notRun(
-    'deadline-exceeded',
-    'The deadline passed while the request was queued.',
-  );
+  const refusal = notRun('deadline-exceeded', 'No room before the deadline.');
   return {kind: 'refuse', id: request.id, refusal};
 }
