--- a/packages/bench/src/lib/process/policies.ts
+++ b/packages/bench/src/lib/process/policies.ts
@@ -2,14 +2,14 @@
  * The policies that the bench compares: oathead's own, and simpler ones that
  * stand for what others do.
  */
-import {EngineAdmission} from '@oathead/core';
+import {TargetAdmission} from '@oathead/core';
 import type {
   Admission,
   AdmissionAction,
   AdmissionEvent,
   AdmissionLoad,
-  BatchRule,
-  EngineSenses,
+  BatchLimiter,
+  EngineObserver,
   PoolConfig,
 } from '@oathead/core';
 
@@ -28,17 +28,17 @@
  * Batch streams up to a fixed number; none is ever preempted. All else, online
  * work above all, is treated as oathead does, so that only this differs.
  */
-class FixedCap implements BatchRule {
+class FixedCap implements BatchLimiter {
   constructor(
-    private readonly senses: EngineSenses,
+    private readonly senses: EngineObserver,
     private readonly cap: number,
   ) {}
 
-  stepLimit(cfg: PoolConfig): number {
+  stepLimitMs(cfg: PoolConfig): number {
     return cfg.betweenTokensMs;
   }
 
-  streams(): number {
+  maxStreams(): number {
     return this.cap;
   }
 
@@ -46,49 +46,49 @@
     return this.senses.running.batch.running < this.cap;
   }
 
-  excess(): number {
+  streamsToPreempt(): number {
     return 0;
   }
 
-  surplus(): number {
+  surplusStreams(): number {
     return 0;
   }
 
-  pieceTokens(): number {
+  prefillChunkTokens(): number {
     return 0;
   }
 }
 
 /** Starts batch work while the engine's own, lagging report shows room. */
-class HoldBack implements BatchRule {
+class HoldBack implements BatchLimiter {
   constructor(
-    private readonly senses: EngineSenses,
+    private readonly senses: EngineObserver,
     private readonly most: number,
   ) {}
 
-  stepLimit(cfg: PoolConfig): number {
+  stepLimitMs(cfg: PoolConfig): number {
     return cfg.betweenTokensMs;
   }
 
-  streams(): number {
-    const {load} = this.senses.gate;
+  maxStreams(): number {
+    const {load} = this.senses.onlineLimiter;
     const busy = load === undefined || load.running + load.waiting >= this.most;
     return busy ? 0 : this.most;
   }
 
   admits(): boolean {
-    return this.senses.running.batch.running < this.streams();
+    return this.senses.running.batch.running < this.maxStreams();
   }
 
-  excess(): number {
+  streamsToPreempt(): number {
     return 0;
   }
 
-  surplus(): number {
+  surplusStreams(): number {
     return 0;
   }
 
-  pieceTokens(): number {
+  prefillChunkTokens(): number {
     return 0;
   }
 }
@@ -133,9 +133,9 @@
 
 function configured(
   pool: PoolConfig,
-  buildRule?: (senses: EngineSenses) => BatchRule,
+  buildRule?: (senses: EngineObserver) => BatchLimiter,
 ): Admission {
-  const admission = new EngineAdmission(buildRule);
+  const admission = new TargetAdmission(buildRule);
   const pools = [pool];
   admission.handle({kind: 'config', pools, callerWeights: {}}, 0);
   return admission;
--- a/packages/bench/src/lib/slopes/virtual_fleet.ts
+++ b/packages/bench/src/lib/slopes/virtual_fleet.ts
@@ -4,7 +4,7 @@
  */
 import {createHash} from 'node:crypto';
 import {
-  EngineAdmission,
+  TargetAdmission,
   LinkLostError,
   NO_COUNTERS,
   failure,
@@ -107,7 +107,7 @@
       random: this.random(targetId),
       metrics: new Metrics(),
       tracer: TRACER,
-      createAdmission: () => new EngineAdmission(),
+      createAdmission: () => new TargetAdmission(),
       backends: {
         engine: new FakeEngine(this.clock, {served, model: ENGINE}),
         services: new Map(),
--- a/packages/core/src/lib/process/batch_controller.ts
+++ b/packages/core/src/lib/process/batch_controller.ts
@@ -6,13 +6,13 @@
  * capacity for batch work.
  */
 import type {AdmissionRequest} from './admission.js';
-import type {EngineSenses} from './engine_senses.js';
-import {allowedDurationMs, plannedSlowdown} from './harm_guard.js';
-import type {InterferenceMeter} from './harm_meter.js';
-import type {OnlineLimiter} from './online_gate.js';
-import type {PrefixCacheModel} from './prompt_cache.js';
+import type {EngineObserver} from './engine_observer.js';
+import {allowedDurationMs, plannedSlowdown} from './latency_allowance.js';
+import type {InterferenceMeter} from './interference_meter.js';
+import type {OnlineLimiter} from './online_limiter.js';
+import type {PrefixCacheModel} from './prefix_cache_model.js';
 import type {RunningSet} from './running_set.js';
-import type {StepDetector} from './step_clock.js';
+import type {StepDetector} from './step_detector.js';
 import type {StepModel} from './step_model.js';
 import type {PoolConfig} from '../version/target_config.js';
 
@@ -83,19 +83,19 @@
  * A policy that bounds batch work at an engine. A benchmark substitutes other
  * policies for comparison.
  */
-export interface BatchRule {
+export interface BatchLimiter {
   /**
    * @param cfg - The configuration of the pool.
    * @returns The longest acceptable step beside online streams, in
    *     milliseconds.
    */
-  stepLimit(cfg: PoolConfig): number;
+  stepLimitMs(cfg: PoolConfig): number;
   /**
    * @param cfg - The configuration of the pool.
    * @returns The number of batch streams that may run beside the current online
    *     work.
    */
-  streams(cfg: PoolConfig): number;
+  maxStreams(cfg: PoolConfig): number;
   /**
    * @param request - A queued batch request.
    * @param cfg - The configuration of its pool.
@@ -114,23 +114,27 @@
    * @param now - Time in milliseconds.
    * @returns The number of batch streams to preempt for the request.
    */
-  excess(request: AdmissionRequest, cfg: PoolConfig, now: number): number;
+  streamsToPreempt(
+    request: AdmissionRequest,
+    cfg: PoolConfig,
+    now: number,
+  ): number;
   /**
    * @param cfg - The configuration of the pool.
    * @returns The number of batch streams to preempt because measurements taken
    *     since they started lowered the limit.
    */
-  surplus(cfg: PoolConfig): number;
+  surplusStreams(cfg: PoolConfig): number;
   /**
    * @param cfg - The configuration of the pool.
    * @returns The number of tokens of a longer batch prompt that may be
    *     prefilled now as a chunk; 0 for none.
    */
-  pieceTokens(cfg: PoolConfig): number;
+  prefillChunkTokens(cfg: PoolConfig): number;
 }
 
 /** Bounds batch work by its measured effect on the steps of online streams. */
-export class BatchController implements BatchRule {
+export class BatchController implements BatchLimiter {
   private readonly model: StepModel;
   private readonly running: RunningSet;
   private readonly meter: InterferenceMeter;
@@ -145,13 +149,13 @@
    * @param tuning - The tuning parameters.
    */
   constructor(
-    observer: EngineSenses,
+    observer: EngineObserver,
     private readonly tuning: BatchTuning = DEFAULT_BATCH_TUNING,
   ) {
     this.model = observer.model;
     this.running = observer.running;
     this.meter = observer.meter;
-    this.onlineLimiter = observer.gate;
+    this.onlineLimiter = observer.onlineLimiter;
     this.stepDetector = observer.stepDetector;
     this.prefixCache = observer.prefixCache;
   }
@@ -161,7 +165,7 @@
    * @returns The longest step that batch work may cause beside online streams
    *     without raising their p99 beyond the planned slowdown, in milliseconds.
    */
-  stepLimit(cfg: PoolConfig): number {
+  stepLimitMs(cfg: PoolConfig): number {
     const {meter, model, running} = this;
     const isBaselineKnown = meter.tokenSamples >= MIN_BASELINE_TOKENS;
     // Until the baseline tail is known, the predicted step of the current
@@ -173,7 +177,7 @@
     return this.plannedSlowdownOf(cfg) * baselineMs;
   }
 
-  streams(cfg: PoolConfig): number {
+  maxStreams(cfg: PoolConfig): number {
     const {online, batch} = this.running;
     // The model learns its decode cost from steps without prefill. Running few
     // streams until it is ready ensures that such steps occur.
@@ -190,7 +194,7 @@
   admits(request: AdmissionRequest, cfg: PoolConfig, prefill: number): boolean {
     const {online, batch} = this.running;
     if (online.prefillTokens > 0) return false;
-    if (batch.running >= this.streams(cfg)) return false;
+    if (batch.running >= this.maxStreams(cfg)) return false;
     if (prefill > CHEAP_PREFILL_TOKENS && this.isPrefillWasteLikely())
       return false;
     const kvTokens = this.kvAtEnd() + request.promptTokens + request.maxTokens;
@@ -204,7 +208,11 @@
     return stepMs <= this.plannedStepMs(cfg, online.running, 0);
   }
 
-  excess(request: AdmissionRequest, cfg: PoolConfig, now: number): number {
+  streamsToPreempt(
+    request: AdmissionRequest,
+    cfg: PoolConfig,
+    now: number,
+  ): number {
     const {online, batch} = this.running;
     if (batch.running === 0) return 0;
     const streams = online.running + 1;
@@ -236,9 +244,9 @@
     );
   }
 
-  surplus(cfg: PoolConfig): number {
+  surplusStreams(cfg: PoolConfig): number {
     const {running} = this.running.batch;
-    const surplus = running - this.streams(cfg);
+    const surplus = running - this.maxStreams(cfg);
     return surplus > Math.max(MIN_SURPLUS_STREAMS, running * SURPLUS_SHARE)
       ? surplus
       : 0;
@@ -249,10 +257,10 @@
    * cache the tokens they have prefilled, so such a prompt is prefilled in
    * chunks that fit into one step each.
    */
-  pieceTokens(cfg: PoolConfig): number {
+  prefillChunkTokens(cfg: PoolConfig): number {
     const {online, batch} = this.running;
     if (online.prefillTokens > 0 || batch.prefillTokens > 0) return 0;
-    if (batch.running >= this.streams(cfg)) return 0;
+    if (batch.running >= this.maxStreams(cfg)) return 0;
     if (this.isPrefillWasteLikely()) return 0;
     const streams = online.running + batch.running + 1;
     const decodeMs = this.model.predict({streams, prefillTokens: 0});
@@ -422,7 +430,7 @@
     prefillTokens: number,
   ): number {
     const {meter, model, running} = this;
-    if (meter.tokenSamples < MIN_BASELINE_TOKENS) return this.stepLimit(cfg);
+    if (meter.tokenSamples < MIN_BASELINE_TOKENS) return this.stepLimitMs(cfg);
     // Streams that are slowed down last longer, so more of them run
     // concurrently than would without batch work.
     const slowdownStreams = running.online.decoding - meter.baselineStreams();
--- a/packages/core/src/lib/process/engine_senses.ts
+++ b/packages/core/src/lib/process/engine_observer.ts
@@ -4,14 +4,14 @@
  * requests.
  */
 import type {AdmissionRequest} from './admission.js';
-import type {BaselineDemand} from './alone_queue.js';
-import {InterferenceMeter} from './harm_meter.js';
-import type {RunEnd} from './lane.js';
-import {OnlineLimiter} from './online_gate.js';
-import {PrefixCacheModel} from './prompt_cache.js';
+import type {BaselineDemand} from './baseline_queue.js';
+import {InterferenceMeter} from './interference_meter.js';
+import type {RunEnd} from './scheduler.js';
+import {OnlineLimiter} from './online_limiter.js';
+import {PrefixCacheModel} from './prefix_cache_model.js';
 import {RunningSet} from './running_set.js';
 import type {RunningRequest} from './running_set.js';
-import {StepDetector} from './step_clock.js';
+import {StepDetector} from './step_detector.js';
 import {StepModel} from './step_model.js';
 
 /**
@@ -28,7 +28,7 @@
 const CLOCK_ERROR_MS = 1;
 
 /** Tracks the state of one engine. Times are in milliseconds. */
-export class EngineSenses {
+export class EngineObserver {
   /** Predicts the step durations of the engine. */
   readonly model = new StepModel();
   /** Detects the steps of the engine. */
@@ -38,7 +38,7 @@
   /** Measures the latency of online requests, with and without batch work. */
   readonly meter = new InterferenceMeter();
   /** Bounds the online work at the engine. */
-  readonly gate = new OnlineLimiter(this.model, this.running);
+  readonly onlineLimiter = new OnlineLimiter(this.model, this.running);
   /** Estimates the contents of the prefix cache. */
   readonly prefixCache = new PrefixCacheModel();
   /**
@@ -154,7 +154,7 @@
     }
     if (running.request.class === 'online') {
       this.meter.ended(id);
-      if (how === 'done') this.gate.finished(now - running.startedAt);
+      if (how === 'done') this.onlineLimiter.finished(now - running.startedAt);
     }
     if (this.running.size === 0) this.stepDetector.idle();
     return running;
@@ -174,7 +174,7 @@
       : 0;
     const streams = Math.max(decoding, this.stepSequences);
     const stalled = prefilling && this.isStalled(durationMs, decoding);
-    this.gate.updateStreamLimit(stalled, decoding, now);
+    this.onlineLimiter.updateStreamLimit(stalled, decoding, now);
     if (!stalled) this.model.learn(durationMs, {streams, prefillTokens});
     this.recordStep(durationMs, streams, limitMs);
     this.stepSequences = this.running.size;
--- a/packages/core/src/lib/process/engine_lane.ts
+++ b/packages/core/src/lib/process/engine_scheduler.ts
@@ -10,14 +10,14 @@
   AdmissionRequest,
 } from './admission.js';
 import {BatchController} from './batch_controller.js';
-import type {BatchRule} from './batch_controller.js';
+import type {BatchLimiter} from './batch_controller.js';
 import type {EngineLoad} from './engine_client.js';
-import {EngineSenses} from './engine_senses.js';
+import {EngineObserver} from './engine_observer.js';
 import type {QueuedRequest} from './fair_queue.js';
-import type {RunEnd, Scheduler} from './lane.js';
-import {roundDownToBlocks} from './prompt_cache.js';
+import type {RunEnd, Scheduler} from './scheduler.js';
+import {roundDownToBlocks} from './prefix_cache_model.js';
 import type {RunningRequest} from './running_set.js';
-import {SchedulerQueues} from './waiting_room.js';
+import {SchedulerQueues} from './scheduler_queues.js';
 import {notRun} from '../request/refusal.js';
 import type {Refusal} from '../request/refusal.js';
 import type {PoolConfig} from '../version/target_config.js';
@@ -55,7 +55,7 @@
 
 /** Schedules the requests of one model engine. */
 export class EngineScheduler implements Scheduler {
-  private readonly observer = new EngineSenses();
+  private readonly observer = new EngineObserver();
   private readonly running = this.observer.running;
   private readonly queues = new SchedulerQueues();
   private readonly prefixCache = this.observer.prefixCache;
@@ -64,7 +64,7 @@
    * of prompt tokens up to the end of the chunk.
    */
   private readonly pieces = new Map<string, number>();
-  private readonly batchLimiter: BatchRule;
+  private readonly batchLimiter: BatchLimiter;
   private pools = new Map<string, PoolConfig>();
   private supportsChunkedPrefill = true;
   private isDraining = false;
@@ -72,7 +72,7 @@
 
   /** @param buildBatchLimiter - Builds the policy that bounds batch work. */
   constructor(
-    buildBatchLimiter: (observer: EngineSenses) => BatchRule = observer =>
+    buildBatchLimiter: (observer: EngineObserver) => BatchLimiter = observer =>
       new BatchController(observer),
   ) {
     this.batchLimiter = buildBatchLimiter(this.observer);
@@ -135,7 +135,7 @@
   }
 
   engineLoad(load: EngineLoad): void {
-    this.observer.gate.report(load);
+    this.observer.onlineLimiter.report(load);
     this.prefixCache.setMemoryTokens(load.kvTokensTotal);
   }
 
@@ -155,14 +155,15 @@
   load(): AdmissionLoad {
     const {online, batch} = this.running;
     const cfg = this.anyPool();
-    const streams = cfg === undefined ? 0 : this.batchLimiter.streams(cfg);
+    const streams = cfg === undefined ? 0 : this.batchLimiter.maxStreams(cfg);
     const batchRoom =
       streams + BATCH_QUEUE_TARGET - batch.running - this.queues.batch.size;
     const acceptsNoBatch = this.isDraining || this.suspectRunning;
     return {
       onlineRunning: online.running,
       onlineQueued: this.queues.online.size,
-      onlineCapacity: cfg === undefined ? 0 : this.observer.gate.capacity(cfg),
+      onlineCapacity:
+        cfg === undefined ? 0 : this.observer.onlineLimiter.capacity(cfg),
       batchRunning: batch.running,
       batchQueued: this.queues.batch.size,
       batchRoom: acceptsNoBatch ? 0 : Math.max(0, batchRoom),
@@ -246,9 +247,9 @@
     const queue = this.queues.online;
     for (let next = queue.peek(); next; next = queue.peek()) {
       const cfg = this.pools.get(next.request.pool)!;
-      if (!this.observer.gate.admits(next.request, cfg)) return;
+      if (!this.observer.onlineLimiter.admits(next.request, cfg)) return;
       queue.take();
-      const excess = this.batchLimiter.excess(next.request, cfg, now);
+      const excess = this.batchLimiter.streamsToPreempt(next.request, cfg, now);
       const victims = this.running.preemptibleBatch().slice(0, excess);
       for (const victim of victims) this.preempt(victim, actions);
       this.start(next, now, actions);
@@ -258,7 +259,7 @@
   private preemptSurplus(actions: Actions): void {
     const cfg = this.anyPool();
     if (cfg === undefined || this.running.batch.running === 0) return;
-    const surplus = this.batchLimiter.surplus(cfg);
+    const surplus = this.batchLimiter.surplusStreams(cfg);
     if (surplus === 0) return;
     for (const victim of this.running.preemptibleBatch().slice(0, surplus)) {
       this.preempt(victim, actions);
@@ -295,7 +296,7 @@
   private startChunk(now: number, actions: Actions): void {
     const cfg = this.anyPool();
     if (cfg === undefined) return;
-    const tokens = roundDownToBlocks(this.batchLimiter.pieceTokens(cfg));
+    const tokens = roundDownToBlocks(this.batchLimiter.prefillChunkTokens(cfg));
     if (tokens === 0) return;
     const isLonger = (request: AdmissionRequest) =>
       this.prefixCache.tokensToPrefill(request) > tokens;
@@ -341,7 +342,7 @@
    */
   private shed(request: AdmissionRequest, actions: Actions): void {
     const cfg = this.pools.get(request.pool)!;
-    const {gate: limiter, meter} = this.observer;
+    const {onlineLimiter: limiter, meter} = this.observer;
     const queue = this.queues.online;
     const usualWaitMs = cfg.firstTokenMs * WAIT_SHARE;
     const maxWaitMs = cfg.firstTokenMs * MAX_WAIT_SHARE;
@@ -360,7 +361,7 @@
 
   private stepLimitMs(): number {
     const cfg = this.anyPool();
-    return cfg === undefined ? 0 : this.batchLimiter.stepLimit(cfg);
+    return cfg === undefined ? 0 : this.batchLimiter.stepLimitMs(cfg);
   }
 
   /**
--- a/packages/core/src/lib/process/harm_meter.ts
+++ b/packages/core/src/lib/process/interference_meter.ts
@@ -5,9 +5,9 @@
  * the baseline of online requests; the controller keeps the actual latency
  * within a configured ratio of it.
  */
-import {BaselineQueue} from './alone_queue.js';
-import type {BaselineDemand} from './alone_queue.js';
-import {RecentQuantiles} from './recent_quantile.js';
+import {BaselineQueue} from './baseline_queue.js';
+import type {BaselineDemand} from './baseline_queue.js';
+import {RecentQuantiles} from './recent_quantiles.js';
 
 const TAIL_QUANTILE = 0.99;
 /**
--- a/packages/core/src/lib/process/memoized_step.ts
+++ b/packages/core/src/lib/process/memoized_transition.ts
@@ -7,7 +7,7 @@
  */
 
 /** The transition function of a state machine. */
-export type Step<State extends string, Event> = (
+export type Transition<State extends string, Event> = (
   state: State,
   event: Event,
 ) => State;
@@ -15,19 +15,19 @@
 /**
  * Memoizes a transition function.
  *
- * @param step - A pure transition function. Its events hold only a type and a
+ * @param transition - A pure transition function. Its events hold only a type and a
  *     few booleans, so that the table stays small.
  * @returns The same function, which computes each transition once.
  */
-export function memoizedStep<State extends string, Event>(
-  step: Step<State, Event>,
-): Step<State, Event> {
+export function memoizedTransition<State extends string, Event>(
+  transition: Transition<State, Event>,
+): Transition<State, Event> {
   const cells = new Map<string, State>();
   return (state, event) => {
     const cell = state + JSON.stringify(event);
     const known = cells.get(cell);
     if (known !== undefined) return known;
-    const next = step(state, event);
+    const next = transition(state, event);
     cells.set(cell, next);
     return next;
   };
--- a/packages/core/src/lib/process/service_pace.ts
+++ b/packages/core/src/lib/process/service_latency.ts
@@ -5,7 +5,7 @@
  */
 
 /** Latency of a run at a target with a free slot. */
-export interface ServicePace {
+export interface ServiceLatency {
   /** Time from sending to the first byte of the answer, in milliseconds. */
   readonly firstByteMs: number;
   /** Time from sending to the end of the answer, in milliseconds. */
@@ -24,12 +24,12 @@
 const MIN_RUNS = 5;
 
 /** Keeps a moving mean of the latency of one service. */
-export class PaceLearner {
+export class ServiceLatencyEstimator {
   private runs = 0;
-  private mean: ServicePace = {firstByteMs: 0, runMs: 0};
+  private mean: ServiceLatency = {firstByteMs: 0, runMs: 0};
 
   /** Mean latency of recent runs; undefined after too few runs. */
-  get pace(): ServicePace | undefined {
+  get latency(): ServiceLatency | undefined {
     return this.runs < MIN_RUNS ? undefined : this.mean;
   }
 
@@ -38,7 +38,7 @@
    *
    * @param run - The latency of a run that found a free slot and was answered.
    */
-  add(run: ServicePace): void {
+  add(run: ServiceLatency): void {
     this.runs++;
     const weight = Math.max(NEWEST_WEIGHT, 1 / this.runs);
     this.mean = {
--- a/packages/core/src/lib/process/service_lane.ts
+++ b/packages/core/src/lib/process/service_scheduler.ts
@@ -10,10 +10,10 @@
   AdmissionLoad,
   AdmissionRequest,
 } from './admission.js';
-import type {RunEnd, Scheduler} from './lane.js';
-import {ConcurrencyLimit} from './latency_limit.js';
+import type {RunEnd, Scheduler} from './scheduler.js';
+import {ConcurrencyLimit} from './concurrency_limit.js';
 import {RunningSet} from './running_set.js';
-import {SchedulerQueues} from './waiting_room.js';
+import {SchedulerQueues} from './scheduler_queues.js';
 import {notRun} from '../request/refusal.js';
 import type {PoolConfig} from '../version/target_config.js';
 
--- a/packages/core/src/lib/process/share_lease_machine.ts
+++ b/packages/core/src/lib/process/share_lease_machine.ts
@@ -6,7 +6,7 @@
  * expired by its own clock, and another entry may have taken the share.
  */
 import {setup, transition} from 'xstate';
-import {memoizedStep} from './memoized_step.js';
+import {memoizedTransition} from './memoized_transition.js';
 
 /** States of a share at one entry. */
 export type ShareLeaseState = 'absent' | 'held' | 'handingOver' | 'suspended';
@@ -49,7 +49,7 @@
  * @param event - The event to apply.
  * @returns The next state; unchanged if the event has no transition.
  */
-export const nextShareLeaseState = memoizedStep<
+export const nextShareLeaseState = memoizedTransition<
   ShareLeaseState,
   ShareLeaseEvent
 >((state, event) => {
--- a/packages/core/src/lib/process/engine_admission.ts
+++ b/packages/core/src/lib/process/target_admission.ts
@@ -10,11 +10,11 @@
   AdmissionLoad,
   AdmissionRequest,
 } from './admission.js';
-import type {BatchRule} from './batch_controller.js';
-import {EngineScheduler} from './engine_lane.js';
-import type {EngineSenses} from './engine_senses.js';
-import type {Scheduler} from './lane.js';
-import {ServiceScheduler} from './service_lane.js';
+import type {BatchLimiter} from './batch_controller.js';
+import {EngineScheduler} from './engine_scheduler.js';
+import type {EngineObserver} from './engine_observer.js';
+import type {Scheduler} from './scheduler.js';
+import {ServiceScheduler} from './service_scheduler.js';
 import {notRun} from '../request/refusal.js';
 import type {PoolConfig} from '../version/target_config.js';
 
@@ -28,7 +28,7 @@
 };
 
 /** Schedules the requests of one target. */
-export class EngineAdmission implements Admission {
+export class TargetAdmission implements Admission {
   private readonly engine: EngineScheduler;
   private readonly services = new Map<string, ServiceScheduler>();
   private readonly schedulerByPool = new Map<string, Scheduler>();
@@ -71,7 +71,7 @@
    *     model engine. The default bounds it by the measured interference with
    *     online work.
    */
-  constructor(buildBatchLimiter?: (observer: EngineSenses) => BatchRule) {
+  constructor(buildBatchLimiter?: (observer: EngineObserver) => BatchLimiter) {
     this.engine = new EngineScheduler(buildBatchLimiter);
   }
 
--- a/packages/core/src/lib/request/item_machine.ts
+++ b/packages/core/src/lib/request/item_machine.ts
@@ -6,7 +6,7 @@
  * again while running it.
  */
 import {setup, transition} from 'xstate';
-import {memoizedStep} from '../process/memoized_step.js';
+import {memoizedTransition} from '../process/memoized_transition.js';
 
 /** States of an item; the last four are final. */
 export type ItemState =
@@ -140,7 +140,7 @@
  * @returns The next state; unchanged if the event has no transition, as for
  *     every event in a final state.
  */
-export const nextItemState = memoizedStep<ItemState, ItemEvent>(
+export const nextItemState = memoizedTransition<ItemState, ItemEvent>(
   (state, event) => {
     const before = ITEM_MACHINE.resolveState({value: state});
     const [after] = transition(ITEM_MACHINE, before, event);
--- a/packages/core/src/lib/request/job_machine.ts
+++ b/packages/core/src/lib/request/job_machine.ts
@@ -1,6 +1,6 @@
 /** State machine of one accepted batch job, free of I/O. */
 import {setup, transition} from 'xstate';
-import {memoizedStep} from '../process/memoized_step.js';
+import {memoizedTransition} from '../process/memoized_transition.js';
 
 /** States of an accepted job; the last two are final. */
 export type JobState = 'open' | 'cancelling' | 'done' | 'cancelled';
@@ -30,11 +30,13 @@
  * @param event - The event to apply.
  * @returns The next state; unchanged if the event has no transition.
  */
-export const nextJobState = memoizedStep<JobState, JobEvent>((state, event) => {
-  const before = JOB_MACHINE.resolveState({value: state});
-  const [after] = transition(JOB_MACHINE, before, event);
-  return after.value as JobState;
-});
+export const nextJobState = memoizedTransition<JobState, JobEvent>(
+  (state, event) => {
+    const before = JOB_MACHINE.resolveState({value: state});
+    const [after] = transition(JOB_MACHINE, before, event);
+    return after.value as JobState;
+  },
+);
 
 /**
  * @param state - State of a job.
--- a/packages/core/src/lib/request/queue_limits.ts
+++ b/packages/core/src/lib/request/queue_limits.ts
@@ -8,7 +8,7 @@
  * follow. If it is refused at once instead, it can be retried when slots are
  * free.
  */
-import type {ServicePace} from '../process/service_pace.js';
+import type {ServiceLatency} from '../process/service_latency.js';
 
 /** Properties of a request that determine whether it may wait. */
 export interface WaitDemand {
@@ -73,7 +73,7 @@
 export function maxQueueLength(
   slots: number,
   demand: WaitDemand,
-  pace: ServicePace | undefined,
+  pace: ServiceLatency | undefined,
 ): number {
   const steps = Math.min(demand.priority, LOWEST_PRIORITY);
   if (!pace)
--- a/packages/core/src/lib/version/rollout_machine.ts
+++ b/packages/core/src/lib/version/rollout_machine.ts
@@ -4,7 +4,7 @@
  * only then the old one is unloaded. Free of I/O and time.
  */
 import {setup, transition} from 'xstate';
-import {memoizedStep} from '../process/memoized_step.js';
+import {memoizedTransition} from '../process/memoized_transition.js';
 
 /** States of a rollout. */
 export type RolloutState =
@@ -125,7 +125,7 @@
  * @param event - The event to apply.
  * @returns The next state; unchanged if the event has no transition.
  */
-export const nextRolloutState = memoizedStep<RolloutState, RolloutEvent>(
+export const nextRolloutState = memoizedTransition<RolloutState, RolloutEvent>(
   (state, event) => {
     const before = ROLLOUT_MACHINE.resolveState({value: state});
     const [after] = transition(ROLLOUT_MACHINE, before, event);
--- a/packages/core/src/test/fakes/burst_fleet.ts
+++ b/packages/core/src/test/fakes/burst_fleet.ts
@@ -4,10 +4,10 @@
  * the refusal. Hosts know the loads of all targets as of the last load report.
  */
 import {
-  PaceLearner,
+  ServiceLatencyEstimator,
   seededRandom,
   type Random,
-  type ServicePace,
+  type ServiceLatency,
   type WaitDemand,
 } from '../../index.js';
 
@@ -37,7 +37,7 @@
 
 /** Policy under test; each host has its own instance. */
 export interface BurstPolicy {
-  maxQueueLength(demand: WaitDemand, pace: ServicePace | undefined): number;
+  maxQueueLength(demand: WaitDemand, pace: ServiceLatency | undefined): number;
   maxQueueWaitMs(demand: WaitDemand): number;
   returnAfterMs(now: number, latestMs: number, runMs?: number): number;
 }
@@ -83,7 +83,7 @@
 ): BurstOutcome {
   const random = seededRandom(load.seed);
   const policies = [...Array(load.hosts).keys()].map(() => policyOf(random));
-  const learners = policies.map(() => new PaceLearner());
+  const learners = policies.map(() => new ServiceLatencyEstimator());
   const running: Run[][] = [...Array(load.targets).keys()].map(() => []);
   const outcome: BurstOutcome = {
     requests: 0,
@@ -103,7 +103,7 @@
     returning,
   });
   const tryStart = (caller: Caller, now: number): boolean => {
-    const pace = learners[caller.host]!.pace;
+    const pace = learners[caller.host]!.latency;
     const demand = demandOf(caller);
     const capacity =
       load.slots + policies[caller.host]!.maxQueueLength(demand, pace);
@@ -145,7 +145,7 @@
       return;
     }
     const leftMs = load.callerTimeoutMs - (now - caller.arrivedAt);
-    const {runMs} = learners[caller.host]!.pace ?? {};
+    const {runMs} = learners[caller.host]!.latency ?? {};
     const delayMs = policies[caller.host]!.returnAfterMs(
       now,
       leftMs * MAX_RETRY_DELAY_FRACTION,
--- a/packages/core/src/test/process/alone_queue_test.ts
+++ b/packages/core/src/test/process/baseline_queue_test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
-import {BaselineQueue} from '../../lib/process/alone_queue.js';
-import type {BaselineDemand} from '../../lib/process/alone_queue.js';
+import {BaselineQueue} from '../../lib/process/baseline_queue.js';
+import type {BaselineDemand} from '../../lib/process/baseline_queue.js';
 
 const NEED: BaselineDemand = {
   prefillMs: 50,
--- a/packages/core/src/test/process/latency_limit_test.ts
+++ b/packages/core/src/test/process/concurrency_limit_test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import {ConcurrencyLimit} from '../../lib/process/latency_limit.js';
+import {ConcurrencyLimit} from '../../lib/process/concurrency_limit.js';
 
 const MAX_CALLS = 100;
 const SLOTS = 40;
--- a/packages/core/src/test/process/harm_guard_test.ts
+++ b/packages/core/src/test/process/latency_allowance_test.ts
@@ -2,7 +2,7 @@
 import {
   allowedDurationMs,
   plannedSlowdown,
-} from '../../lib/process/harm_guard.js';
+} from '../../lib/process/latency_allowance.js';
 
 const QUANTILES = [20, 50, 90];
 const policy = (throughputWeight: number) => ({throughputWeight, maxHarm: 1.1});
--- a/packages/core/src/test/process/memoized_step_test.ts
+++ b/packages/core/src/test/process/memoized_transition_test.ts
@@ -1,9 +1,9 @@
 import test from 'ava';
-import {memoizedStep} from '../../lib/process/memoized_step.js';
+import {memoizedTransition} from '../../lib/process/memoized_transition.js';
 
 test('each transition is computed once', t => {
   let computed = 0;
-  const step = memoizedStep<'on' | 'off', {readonly flip: boolean}>(
+  const step = memoizedTransition<'on' | 'off', {readonly flip: boolean}>(
     (state, {flip}) => {
       computed++;
       if (!flip) return state;
--- a/packages/core/src/test/process/online_gate_test.ts
+++ b/packages/core/src/test/process/online_limiter_test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import {OnlineLimiter} from '../../lib/process/online_gate.js';
+import {OnlineLimiter} from '../../lib/process/online_limiter.js';
 import type {RunningSet} from '../../lib/process/running_set.js';
 import type {StepModel} from '../../lib/process/step_model.js';
 
--- a/packages/core/src/test/process/prompt_cache_test.ts
+++ b/packages/core/src/test/process/prefix_cache_model_test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import {PrefixCacheModel} from '../../lib/process/prompt_cache.js';
+import {PrefixCacheModel} from '../../lib/process/prefix_cache_model.js';
 import type {AdmissionRequest} from '../../lib/process/admission.js';
 
 const REQUEST: AdmissionRequest = {
--- a/packages/core/src/test/process/step_clock_test.ts
+++ b/packages/core/src/test/process/step_detector_test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import {StepDetector} from '../../lib/process/step_clock.js';
+import {StepDetector} from '../../lib/process/step_detector.js';
 
 test('the next token of a stream ends a step', t => {
   const clock = new StepDetector();
--- a/packages/core/src/test/process/engine_admission_test.ts
+++ b/packages/core/src/test/process/target_admission_test.ts
@@ -3,7 +3,7 @@
   AdmissionAction,
   AdmissionRequest,
 } from '../../lib/process/admission.js';
-import {EngineAdmission} from '../../lib/process/engine_admission.js';
+import {TargetAdmission} from '../../lib/process/target_admission.js';
 import type {PoolConfig} from '../../lib/version/target_config.js';
 
 const MODEL: PoolConfig = {
@@ -34,15 +34,15 @@
   };
 }
 
-function configured(): EngineAdmission {
-  const admission = new EngineAdmission();
+function configured(): TargetAdmission {
+  const admission = new TargetAdmission();
   const pools = [MODEL, SERVICE];
   admission.handle({kind: 'config', pools, callerWeights: {}}, 0);
   return admission;
 }
 
 function arrive(
-  admission: EngineAdmission,
+  admission: TargetAdmission,
   now: number,
   ...requests: readonly AdmissionRequest[]
 ): readonly AdmissionAction[] {
@@ -60,7 +60,7 @@
  * @returns The time after the last step, in milliseconds.
  */
 function runSteps(
-  admission: EngineAdmission,
+  admission: TargetAdmission,
   ids: readonly string[],
   from: number,
   count: number,
--- a/packages/core/src/test/request/burst_replay_test.ts
+++ b/packages/core/src/test/request/burst_replay_test.ts
@@ -4,7 +4,7 @@
   maxQueueWaitMs,
   maxQueueLength,
   type Random,
-  type ServicePace,
+  type ServiceLatency,
   type WaitDemand,
 } from '../../index.js';
 import {
@@ -90,7 +90,7 @@
   (random: Random): BurstPolicy => {
     const retries = new RetryScheduler(random);
     return {
-      maxQueueLength: (demand: WaitDemand, pace?: ServicePace) =>
+      maxQueueLength: (demand: WaitDemand, pace?: ServiceLatency) =>
         maxQueueLength(slots, demand, pace),
       maxQueueWaitMs: maxQueueWaitMs,
       returnAfterMs: (now, latestMs, runMs) =>
--- a/packages/demo/src/lib/process/local_target.ts
+++ b/packages/demo/src/lib/process/local_target.ts
@@ -1,7 +1,7 @@
 /** A target process and its engine inside this process, on loopback. */
 import {
   DisposableStore,
-  EngineAdmission,
+  TargetAdmission,
   SYSTEM_CLOCK,
   seededRandom,
 } from '@oathead/core';
@@ -49,7 +49,7 @@
       clock: SYSTEM_CLOCK,
       random: seededRandom(options.seed),
       metrics,
-      createAdmission: () => new EngineAdmission(),
+      createAdmission: () => new TargetAdmission(),
       createEngine: () =>
         held.add(
           new FakeEngine(SYSTEM_CLOCK, {
--- a/packages/gateway/src/lib/process/service_overload.ts
+++ b/packages/gateway/src/lib/process/service_overload.ts
@@ -3,12 +3,12 @@
  * may be queued and when refused callers should retry.
  */
 import {
-  PaceLearner,
+  ServiceLatencyEstimator,
   RetryScheduler,
   maxQueueLength,
   type Clock,
   type Random,
-  type ServicePace,
+  type ServiceLatency,
   type WaitDemand,
 } from '@oathead/core';
 import type {Target} from '../connection/target.js';
@@ -24,7 +24,7 @@
 }
 
 interface ServiceObservations {
-  readonly learner: PaceLearner;
+  readonly learner: ServiceLatencyEstimator;
   readonly returns: RetryScheduler;
 }
 
@@ -39,13 +39,13 @@
    * @param service - Service of the target.
    * @param run - Latencies of a run that found a free slot.
    */
-  recordRun(service: string, run: ServicePace): void {
+  recordRun(service: string, run: ServiceLatency): void {
     this.observationsOf(service).learner.add(run);
   }
 
   /** @returns How many requests with this demand may be queued at a target. */
   maxQueued({service, slots}: Target, demand: WaitDemand): number {
-    const pace = this.services.get(service)?.learner.pace;
+    const pace = this.services.get(service)?.learner.latency;
     return maxQueueLength(slots, demand, pace);
   }
 
@@ -60,7 +60,7 @@
     const {learner, returns} = this.observationsOf(service);
     const targets = directory.ofService(service);
     const slots = targets.reduce((sum, target) => sum + target.slots, 0);
-    const runMs = learner.pace?.runMs;
+    const runMs = learner.latency?.runMs;
     return returns.scheduleRetry(clock.now(), {
       runMs,
       slots,
@@ -73,7 +73,7 @@
     const known = this.services.get(service);
     if (known) return known;
     const observed: ServiceObservations = {
-      learner: new PaceLearner(),
+      learner: new ServiceLatencyEstimator(),
       returns: new RetryScheduler(this.context.random),
     };
     this.services.set(service, observed);
--- a/packages/proofs/src/lib/process/processes.ts
+++ b/packages/proofs/src/lib/process/processes.ts
@@ -1,5 +1,5 @@
 /** Entries and target processes of the fleet, without sockets. */
-import {EngineAdmission, hash32, seededRandom} from '@oathead/core';
+import {TargetAdmission, hash32, seededRandom} from '@oathead/core';
 import type {Counters, Work} from '@oathead/core';
 import {Entry, peerRouter} from '@oathead/entry';
 import type {Platform} from '@oathead/stores';
@@ -124,7 +124,7 @@
     random: seededRandom(hash32(`${seed}/${id}/${boot}`)),
     metrics: {count: () => {}, record: () => {}},
     tracer: TRACER,
-    createAdmission: () => new EngineAdmission(),
+    createAdmission: () => new TargetAdmission(),
     backends: {
       ...(engine ? {engine: engineAt(host, engine, watch)} : {}),
       services: new Map(services),
--- a/packages/soak/src/lib/process/promises.ts
+++ b/packages/soak/src/lib/process/promises.ts
@@ -1,5 +1,5 @@
 /** The promises of the system, checked by what callers and targets saw. */
-import type {SeenRequest} from '@oathead/platform/stand_ins';
+import type {ReceivedRequest} from '@oathead/platform/stand_ins';
 import type {JobRecord} from '../request/batch_load.js';
 import type {OnlineRecord} from '../request/online_load.js';
 import {CALM_BOUND_MS, type CalmChanges} from './calm_changes.js';
@@ -63,7 +63,7 @@
   return fleet.deaths;
 }
 
-function allRuns({fleet}: Evidence): readonly SeenRequest[] {
+function allRuns({fleet}: Evidence): readonly ReceivedRequest[] {
   return fleet.incarnations.flatMap(({server}) => server.ran);
 }
 
--- a/packages/soak/src/lib/process/soak_fleet.ts
+++ b/packages/soak/src/lib/process/soak_fleet.ts
@@ -1,14 +1,14 @@
 /** The system under soak: real programs, and stand-ins behind proxies. */
 import type {ChildProcess} from 'node:child_process';
 import {
-  eventOf,
-  FIRST_CONFIG,
+  formatEvent,
+  INITIAL_CONFIG,
   ServerStandIn,
   ServingProgram,
   StoreStandIn,
   type ProgramOptions,
   type ServerOptions,
-  type StoreDoor,
+  type StoreEndpoint,
 } from '@oathead/platform/stand_ins';
 import {FaultProxy} from '../connection/fault_proxy.js';
 
@@ -18,7 +18,7 @@
 /** A place for one program: it is started there again and again. */
 export interface ProgramPlace {
   readonly name: string;
-  readonly door: StoreDoor;
+  readonly door: StoreEndpoint;
   readonly storeProxy: FaultProxy;
   program: ServingProgram;
   /** Whether its end is wanted: a signal of the run's ends it. */
@@ -55,7 +55,7 @@
  */
 export function wholeStream(path: string): string {
   return eventNumbers()
-    .map(n => eventOf(n, wordOf(path, n)))
+    .map(n => formatEvent(n, wordOf(path, n)))
     .join('');
 }
 
@@ -100,7 +100,7 @@
   readonly withdrawnAt = new Map<string, number>();
   private readonly held: AsyncDisposable[] = [this.store];
   private keys = 1;
-  private version = FIRST_CONFIG.version;
+  private version = INITIAL_CONFIG.version;
   private starts = 0;
 
   /**
@@ -114,7 +114,9 @@
     for (let i = 0; i < engines; i++) await this.addServer('llm');
     for (let i = 0; i < PLAIN_SERVERS; i++) await this.addServer('api');
     for (let i = 0; i < programs; i++) await this.addProgram(i);
-    await Promise.all(this.programs.map(({program}) => program.untilReady()));
+    await Promise.all(
+      this.programs.map(({program}) => program.waitUntilReady()),
+    );
   }
 
   /** The key that callers have now. */
@@ -141,10 +143,10 @@
 
   /** @param place - Where a program has ended; it is started again. */
   async restart(place: ProgramPlace): Promise<void> {
-    await place.program.ended();
+    await place.program.waitForExit();
     const {pid, text} = place.program;
     this.formerLogs.set(`${place.name}-${pid}`, text);
-    const options = place.program.startedWith;
+    const options = place.program.startOptions;
     await place.program[Symbol.asyncDispose]();
     place.program = await this.launch(place.name, options);
     place.ending = false;
@@ -180,15 +182,15 @@
       latency_goal_ms: 100,
       max_attempts: 3,
     }));
-    const routes = [...FIRST_CONFIG.routes, ...extra];
+    const routes = [...INITIAL_CONFIG.routes, ...extra];
     this.version += 3;
     const tenants = [{name: ACCOUNT, api_keys: [this.key]}];
-    const config = {...FIRST_CONFIG, version: this.version, routes, tenants};
+    const config = {...INITIAL_CONFIG, version: this.version, routes, tenants};
     await this.store.put('op', 'config', config);
   }
 
   private async addProgram(i: number): Promise<void> {
-    const door = await this.store.openDoor();
+    const door = await this.store.openEndpoint();
     const storeProxy = await FaultProxy.before(door.address);
     this.held.push(storeProxy);
     const name = `host-${i}`;
@@ -221,7 +223,7 @@
 
   private watch(place: ProgramPlace): void {
     const {program} = place;
-    void program.ended().then(code => {
+    void program.waitForExit().then(code => {
       if (place.ending || place.program !== program) return;
       const last = program.text.slice(-2000);
       this.deaths.push(`${place.name} ended with ${code}: ${last}`);
@@ -251,11 +253,11 @@
       service,
       zone: ZONES[this.starts % ZONES.length]!,
       slots: SLOTS,
-      queue: QUEUE,
+      maxQueueLength: QUEUE,
       events: EVENTS,
       eventMs: service === 'llm' ? EVENT_MS : PLAIN_ANSWER_MS,
-      word: wordOf,
-      via: async address => {
+      eventData: wordOf,
+      listedAddress: async address => {
         proxy = await FaultProxy.before(address);
         return proxy.address;
       },
--- a/packages/soak/src/lib/request/batch_load.ts
+++ b/packages/soak/src/lib/request/batch_load.ts
@@ -111,7 +111,7 @@
   private async accept(job: JobRecord, ends: boolean): Promise<void> {
     for (let i = 0; i < MAX_TRIES; i++) {
       const answer = await this.attempt(caller =>
-        caller.handIn(job.id, job.items),
+        caller.submit(job.id, job.items),
       );
       job.tries.push(answer?.status);
       if (answer?.status === 202) {
@@ -125,7 +125,7 @@
 
   private async end(job: JobRecord): Promise<void> {
     for (let i = 0; i < MAX_TRIES; i++) {
-      const answer = await this.attempt(caller => caller.end(job.id));
+      const answer = await this.attempt(caller => caller.cancel(job.id));
       if (answer?.status === 200) {
         job.endedAt = Date.now();
         return;
