--- a/packages/wire/src/lib/connection/event_queue.ts
+++ b/packages/wire/src/lib/connection/event_queue.ts
@@ -1,13 +1,17 @@
-/** Events handed from callbacks to an iteration. */
+/** A queue that turns callbacks into an asynchronous iteration. */
 
-/** A queue with one reader, ended or failed by its writer. */
+/** An unbounded queue with a single reader, closed by its writer. */
 export class EventQueue<T> {
   private readonly events: T[] = [];
   private wake: (() => void) | undefined;
   private ended = false;
   private error: Error | undefined;
 
-  /** @param event - What the reader gets next. */
+  /**
+   * Appends an event. Does nothing once the queue has ended.
+   *
+   * @param event - The event to append; must not be `undefined`.
+   */
   push(event: T): void {
     if (this.ended) return;
     this.events.push(event);
@@ -15,9 +19,10 @@
   }
 
   /**
-   * Ends the iteration behind what is queued.
+   * Ends the iteration once the queued events have been read. Only the first
+   * call has an effect.
    *
-   * @param error - What the reader gets thrown at the end, if anything.
+   * @param error - Error thrown to the reader after the last event, if any.
    */
   end(error?: Error): void {
     if (this.ended) return;
@@ -27,8 +32,10 @@
   }
 
   /**
-   * @returns The events, in order.
-   * @throws What the queue was ended with.
+   * Reads the queue; may be called by one reader only.
+   *
+   * @returns The events in the order in which they were pushed.
+   * @throws The error passed to {@link EventQueue.end}, if any.
    */
   async *read(): AsyncGenerator<T, void, undefined> {
     for (;;) {
--- a/packages/wire/src/lib/connection/heartbeat_schema.ts
+++ b/packages/wire/src/lib/connection/heartbeat_schema.ts
@@ -1,11 +1,11 @@
-/** Schemas of heartbeats. */
+/** Schemas of heartbeats and their replies. */
 import type {Heartbeat, HeartbeatReply} from '@oathead/core';
 import {z} from 'zod';
 import {LOAD_REPORT_SCHEMA} from '../process/load_report_schema.js';
 import {schemaOf} from '../request/schema_of.js';
 import {TARGET_CONFIG_SCHEMA} from '../version/target_config_schema.js';
 
-/** The heartbeat that an entry sends. */
+/** Schema of the heartbeat that an entry sends to a target process. */
 export const HEARTBEAT_SCHEMA = schemaOf<Heartbeat>()(
   z.object({
     entryId: z.string(),
@@ -15,7 +15,7 @@
   }),
 );
 
-/** What a target process answers to a heartbeat. */
+/** Schema of a target process's reply to a heartbeat. */
 export const HEARTBEAT_REPLY_SCHEMA = schemaOf<HeartbeatReply>()(
   z.object({
     bootId: z.string(),
--- a/packages/wire/src/lib/connection/link_channel.ts
+++ b/packages/wire/src/lib/connection/link_channel.ts
@@ -1,36 +1,41 @@
-/** An open connection to a target process, as a link uses it. */
+/** The interface through which a link uses a connection to a target process. */
 import type {TRPCClient} from '@trpc/client';
 import type {Hello} from '../process/target_handler.js';
 import type {TargetRouter} from '../process/target_router.js';
 import type {ChannelOptions} from './channel.js';
 
-/** An open connection whose other end has answered. */
+/** An open connection on which the target process has responded. */
 export interface LinkChannel extends Disposable {
+  /** Identity of the target process, sent when the channel was opened. */
   readonly hello: Hello;
-  /** Calls procedures of the target process. */
+  /** Client for the procedures of the target process. */
   readonly api: TRPCClient<TargetRouter>;
-  /** When something came last, on the clock of this process. */
+  /** Time at which data was last received, on the clock of this process. */
   readonly lastHeardAt: number;
-  /** Whether calls can be made. */
+  /** Whether calls can be made on this channel. */
   readonly isOpen: boolean;
-  /** Asks the other end for a sign of life. */
+  /** Sends a ping, to which a responsive target process replies. */
   probe(): void;
 }
 
-/** What a channel tells its owner. */
+/** Callbacks through which a channel notifies its owner. */
 export interface ChannelEvents {
-  /** Something came. */
+  /** Data was received on the channel. */
   heard(channel: LinkChannel): void;
-  /** The connection has closed. */
+  /** The connection was closed by the other side or by the network. */
   broken(channel: LinkChannel): void;
 }
 
 /**
- * Opens a channel; other than over a network in tests.
+ * Opens a channel. Tests inject an implementation that uses no network.
  *
- * @throws LinkLostError when the other end doesn't answer in time.
+ * @param options - The address and the connection settings.
+ * @param events - Receives the events of the channel.
+ * @returns The open channel.
+ * @throws LinkLostError if the connection fails, or if the target process does
+ *     not respond within `connectTimeoutMs`.
  */
-export type ConnectChannel = (
+export type OpenChannel = (
   options: ChannelOptions,
   events: ChannelEvents,
 ) => Promise<LinkChannel>;
--- a/packages/wire/src/lib/connection/link_connection.ts
+++ b/packages/wire/src/lib/connection/link_connection.ts
@@ -1,4 +1,7 @@
-/** The connection of a link: driven by its machine, replaced when in doubt. */
+/**
+ * The connection of a link. It is driven by a state machine and replaced when
+ * it breaks or stays silent.
+ */
 import {LinkLostError, initialConnection, stepConnection} from '@oathead/core';
 import type {
   Clock,
@@ -10,7 +13,7 @@
 import {Channel} from './channel.js';
 import type {ClientTls} from './channel.js';
 import type {LinkCall} from './link_call.js';
-import type {ConnectChannel, LinkChannel} from './link_channel.js';
+import type {OpenChannel, LinkChannel} from './link_channel.js';
 
 /** Settings of a link. */
 export interface LinkOptions {
@@ -21,30 +24,40 @@
   /** Certificates for mutual TLS. */
   readonly tls?: ClientTls;
   /**
-   * Quiet on a connection with calls in flight is answered by a probe after
-   * this time and by a new connection after twice this time, in milliseconds.
+   * Silence timeout of a connection with calls in flight, in milliseconds. If
+   * no data arrives, a probe is sent after this time and a replacement
+   * connection is opened after twice this time.
    */
   readonly silenceMs?: number;
-  /** Largest wait for a new connection's first answer, in milliseconds. */
+  /** Timeout for the first response on a new connection, in milliseconds. */
   readonly connectTimeoutMs?: number;
-  /** Opens a connection; over a WebSocket where absent. */
-  readonly connect?: ConnectChannel;
+  /** Opens a connection. Default: over a WebSocket. */
+  readonly connect?: OpenChannel;
 }
 
 const DEFAULT_SILENCE_MS = 500;
 const DEFAULT_CONNECT_TIMEOUT_MS = 1_000;
 
-/** Keeps one connection open for the calls of a link. */
+/** Maintains the connection of a link and moves its calls to replacements. */
 export class LinkConnection implements Disposable {
+  /** All calls in flight, including those in {@link LinkConnection.waiting}. */
   private readonly calls = new Set<LinkCall>();
-  /** Calls that wait for a connection to be open. */
+  /** Calls that have not started because no responsive channel is open. */
   private readonly waiting = new Set<LinkCall>();
   private snapshot = initialConnection();
   private channel: LinkChannel | undefined;
-  /** Counts attempts to connect, so that an abandoned one is known as such. */
+  /**
+   * Number of the latest connection attempt. An attempt that completes with an
+   * older number was abandoned, and its channel is closed.
+   */
   private attempts = 0;
-  private quietTimer: Disposable | undefined;
-  private quietSince = 0;
+  private silenceTimer: Disposable | undefined;
+  /**
+   * Start of the current period of silence: when data was last received, or
+   * when a call that expects a response was started on an otherwise idle
+   * connection.
+   */
+  private lastActivityAt = 0;
   private readonly silenceMs: number;
   private closed = false;
 
@@ -53,57 +66,65 @@
     probe: () => this.channel?.probe(),
     adopt: () => this.moveCalls(),
     abandon: () => void this.attempts++,
-    fail: () => this.giveUp('the target does not answer'),
+    fail: () => this.failCalls('the target does not answer'),
   };
 
-  /** @param options - Where to, and how. */
+  /** @param options - The address and the connection settings. */
   constructor(private readonly options: LinkOptions) {
     this.silenceMs = options.silenceMs ?? DEFAULT_SILENCE_MS;
   }
 
-  /** The state of the connection. */
+  /** State of the connection. */
   get state(): ConnectionState {
     return this.snapshot.value as ConnectionState;
   }
 
   /**
-   * Makes a call, as soon as there is a connection to make it over.
+   * Starts a call as soon as a connection is open.
    *
-   * @param call - The call; it fails if there is to be none.
+   * @param call - The call. It fails if no connection can be opened or the link
+   *     is closed.
    */
   begin(call: LinkCall): void {
     if (this.closed) {
       call.fail(new LinkLostError('the link was closed'));
       return;
     }
-    if (!this.isAwaiting()) this.quietSince = this.options.clock.now();
+    if (!this.expectsResponse()) this.lastActivityAt = this.options.clock.now();
     this.calls.add(call);
-    this.watch();
+    this.scheduleSilenceCheck();
     if (this.channel && this.state === 'open') call.use(this.channel);
-    else this.hold(call);
+    else this.queueCall(call);
   }
 
-  /** @param call - A call that is over. */
+  /**
+   * Removes a call.
+   *
+   * @param call - A call that has ended.
+   */
   end(call: LinkCall): void {
     this.calls.delete(call);
     this.waiting.delete(call);
   }
 
-  /** Closes the connection; calls in flight fail. */
+  /** Closes the connection and fails the calls in flight. */
   [Symbol.dispose](): void {
     this.closed = true;
-    this.quietTimer?.[Symbol.dispose]();
-    this.giveUp('the link was closed');
+    this.silenceTimer?.[Symbol.dispose]();
+    this.failCalls('the link was closed');
   }
 
-  /** A call made over a connection in doubt would only have to be moved. */
-  private hold(call: LinkCall): void {
+  /**
+   * Queues a call until a channel is known to be responsive. A call started on
+   * a silent connection would probably have to be moved to its replacement.
+   */
+  private queueCall(call: LinkCall): void {
     this.waiting.add(call);
     this.step({type: 'wanted'});
   }
 
-  private isAwaiting(): boolean {
-    for (const call of this.calls) if (call.awaited) return true;
+  private expectsResponse(): boolean {
+    for (const call of this.calls) if (call.expectsResponse) return true;
     return false;
   }
 
@@ -119,19 +140,19 @@
 
   private async connect(): Promise<void> {
     const attempt = ++this.attempts;
-    const channel = await this.openChannel();
+    const channel = await this.tryOpenChannel();
     if (attempt !== this.attempts) channel?.[Symbol.dispose]();
     else if (channel) this.adopt(channel);
     else this.step({type: 'failed'});
   }
 
-  private async openChannel(): Promise<LinkChannel | undefined> {
+  private async tryOpenChannel(): Promise<LinkChannel | undefined> {
     const {url, clock, tls, connect = Channel.connect} = this.options;
     const connectTimeoutMs =
       this.options.connectTimeoutMs ?? DEFAULT_CONNECT_TIMEOUT_MS;
     const events = {
-      heard: (from: LinkChannel) => this.onHeard(from),
-      broken: (from: LinkChannel) => this.onBroken(from),
+      heard: (from: LinkChannel) => this.onReceived(from),
+      broken: (from: LinkChannel) => this.onClosed(from),
     };
     try {
       return await connect({url, clock, tls, connectTimeoutMs}, events);
@@ -141,11 +162,11 @@
     }
   }
 
-  /** Make before break: the calls move, then the old connection is closed. */
+  /** Moves the calls to a new channel before closing the old one. */
   private adopt(channel: LinkChannel): void {
     const old = this.channel;
     this.channel = channel;
-    this.quietSince = channel.lastHeardAt;
+    this.lastActivityAt = channel.lastHeardAt;
     this.step({type: 'opened'});
     old?.[Symbol.dispose]();
   }
@@ -155,34 +176,37 @@
     for (const call of this.calls) call.use(this.channel!);
   }
 
-  private onHeard(from: LinkChannel): void {
+  private onReceived(from: LinkChannel): void {
     if (from !== this.channel) return;
-    this.quietSince = from.lastHeardAt;
+    this.lastActivityAt = from.lastHeardAt;
     if (this.state === 'open') return;
     this.step({type: 'heard'});
     for (const call of this.waiting) call.use(from);
     this.waiting.clear();
   }
 
-  private onBroken(from: LinkChannel): void {
+  private onClosed(from: LinkChannel): void {
     if (from !== this.channel) return;
     this.channel = undefined;
     this.step({type: 'broken'});
   }
 
-  /** One timer a link, that runs only while calls are in flight. */
-  private watch(): void {
-    if (this.quietTimer) return;
-    this.quietTimer = this.options.clock.after(this.silenceMs, () => {
-      this.quietTimer = undefined;
-      if (!this.isAwaiting()) return;
-      const quietMs = this.options.clock.now() - this.quietSince;
+  /**
+   * Starts the silence timer, unless it is running. There is one timer per
+   * link, and it runs only while calls that expect a response are in flight.
+   */
+  private scheduleSilenceCheck(): void {
+    if (this.silenceTimer) return;
+    this.silenceTimer = this.options.clock.after(this.silenceMs, () => {
+      this.silenceTimer = undefined;
+      if (!this.expectsResponse()) return;
+      const quietMs = this.options.clock.now() - this.lastActivityAt;
       if (quietMs >= this.silenceMs) this.step({type: 'quiet'});
-      this.watch();
+      this.scheduleSilenceCheck();
     });
   }
 
-  private giveUp(message: string): void {
+  private failCalls(message: string): void {
     this.attempts++;
     this.channel?.[Symbol.dispose]();
     this.channel = undefined;
--- a/packages/wire/src/lib/connection/peer_error.ts
+++ b/packages/wire/src/lib/connection/peer_error.ts
@@ -1,14 +1,17 @@
-/** Errors that a peer sent in place of an answer. */
+/** Interprets errors that the target process sent instead of a response. */
 import {mayHaveRun} from '@oathead/core';
 import type {Refusal} from '@oathead/core';
 import {TRPCClientError} from '@trpc/client';
 import type {WireProblems} from '../process/target_router.js';
 
 /**
- * @param err - Why a call failed.
- * @returns What the peer refused: a message that it does not understand, or
- *     one that broke an invariant there. Undefined when the error came from no
- *     peer but from the connection.
+ * Converts an error sent by the target process to a refusal.
+ *
+ * @param err - The error with which a call failed.
+ * @returns An `invalid-request` refusal if the target process rejected the
+ *     message as invalid, or an `internal` one if handling it failed there.
+ *     Undefined if the error came from the connection and not from the target
+ *     process.
  */
 export function refusalOf(err: unknown): Refusal | undefined {
   if (!(err instanceof TRPCClientError) || !err.shape) return undefined;
--- a/packages/wire/src/lib/connection/serve_call.ts
+++ b/packages/wire/src/lib/connection/serve_call.ts
@@ -1,4 +1,4 @@
-/** A request in flight on a link. */
+/** A request in flight on a link, with its stream of events. */
 import {LinkLostError, isFinalEvent} from '@oathead/core';
 import type {Clock, ServeEvent, ServeRequest} from '@oathead/core';
 import {EventQueue} from './event_queue.js';
@@ -8,20 +8,21 @@
 import type {StreamSinks} from './stream_call.js';
 
 /**
- * Sends a request once and then only ever attaches to it.
+ * Sends a request once and reattaches to it on later connections.
  *
- * Guards against a lost and against a doubled request when its connection is
- * replaced: sent again, it would run twice at a target process that has
- * restarted or forgotten it; given up, an answer would be lost that the target
- * still makes. The position in the stream goes along, so that no token comes
- * twice and none is missing.
+ * When its connection is replaced, a request must be neither repeated nor
+ * dropped. Resending it would run it twice at a target process that has
+ * restarted or no longer remembers it; dropping it would lose an answer that
+ * the target is still producing. Each attachment states the position in the
+ * stream, so that no token is duplicated or missing.
  */
 export class ServeCall implements LinkCall {
-  readonly awaited = true;
+  readonly expectsResponse = true;
   private readonly queue = new EventQueue<ServeEvent>();
   private subscription: {unsubscribe(): void} | undefined;
   private current: LinkChannel | undefined;
-  private sentTo: string | undefined;
+  /** Boot id of the target process that the request was sent to. */
+  private sentToBootId: string | undefined;
   private sentAt = 0;
   private startedSeen = false;
   private tokensSeen = 0;
@@ -29,14 +30,18 @@
 
   /**
    * @param req - The request.
-   * @param clock - Tells how long ago it was sent.
+   * @param clock - Measures the time since the request was sent.
    */
   constructor(
     private readonly req: ServeRequest,
     private readonly clock: Clock,
   ) {}
 
-  /** @returns What the target tells, in order. @throws LinkLostError */
+  /**
+   * @returns The events sent by the target, in order.
+   * @throws LinkLostError if the target cannot be reached, or if the stream
+   *     ends without a final event.
+   */
   events(): AsyncGenerator<ServeEvent, void, undefined> {
     return this.queue.read();
   }
@@ -50,9 +55,9 @@
       onError: (err: unknown) => this.onError(channel, err as Error),
     };
     this.subscription =
-      this.sentTo === undefined
+      this.sentToBootId === undefined
         ? this.send(channel, sinks)
-        : this.attach(channel, this.sentTo, sinks);
+        : this.attach(channel, this.sentToBootId, sinks);
   }
 
   fail(err: LinkLostError): void {
@@ -62,10 +67,12 @@
 
   /** Whether the request may have reached the target. */
   get wasSent(): boolean {
-    return this.sentTo !== undefined;
+    return this.sentToBootId !== undefined;
   }
 
-  /** Cancels the request at the target, if it has not ended. */
+  /**
+   * Ends the events, and cancels the request at the target if it still runs.
+   */
   cancel(): void {
     if (!this.over && this.current?.isOpen) this.subscription?.unsubscribe();
     this.over = true;
@@ -76,7 +83,7 @@
     channel: LinkChannel,
     sinks: StreamSinks<ServeEvent>,
   ): {unsubscribe(): void} {
-    this.sentTo = channel.hello.bootId;
+    this.sentToBootId = channel.hello.bootId;
     this.sentAt = this.clock.now();
     return channel.api.serve.subscribe(this.req, sinks);
   }
@@ -98,7 +105,7 @@
   }
 
   private onEvent(channel: LinkChannel, event: ServeEvent): void {
-    // A replaced connection that speaks again must not add to the stream.
+    // Late data on a replaced connection must not be added to the stream.
     if (this.over || channel !== this.current) return;
     if (event.kind === 'started') this.startedSeen = true;
     if (event.kind === 'tokens') this.tokensSeen = event.index + event.count;
@@ -109,8 +116,8 @@
   }
 
   /**
-   * Guards against a cut stream that looks like a finished one: the target
-   * ended it, but without telling how the request ended.
+   * Fails a request whose stream the target ended without a final event.
+   * Otherwise a truncated stream would look like a complete one.
    */
   private onStopped(channel: LinkChannel): void {
     if (this.over || channel !== this.current) return;
@@ -120,7 +127,7 @@
   private onError(channel: LinkChannel, err: Error): void {
     if (this.over || channel !== this.current) return;
     const refusal = refusalOf(err);
-    // Otherwise the connection broke: the link moves the call or fails it.
+    // Without a refusal the connection broke: the link moves or fails the call.
     if (refusal) this.onEvent(channel, {kind: 'refused', refusal});
   }
 }
--- a/packages/wire/src/lib/connection/stream_call.ts
+++ b/packages/wire/src/lib/connection/stream_call.ts
@@ -1,39 +1,49 @@
-/** A subscription on a link that begins anew on each connection. */
+/** A subscription on a link that restarts on each new connection. */
 import type {LinkLostError} from '@oathead/core';
 import {EventQueue} from './event_queue.js';
 import type {LinkCall} from './link_call.js';
 import type {LinkChannel} from './link_channel.js';
 import {refusalOf} from './peer_error.js';
 
-/** What a subscription tells. */
+/** Callbacks of a subscription. */
 export interface StreamSinks<T> {
   readonly onData: (event: T) => void;
   readonly onStopped: () => void;
   readonly onError: (err: unknown) => void;
 }
 
-/** Subscribes over a channel. */
+/**
+ * Subscribes over a channel.
+ *
+ * @param channel - The channel to use.
+ * @param sinks - Receives what the subscription delivers.
+ * @returns The subscription.
+ */
 export type Subscribe<T> = (
   channel: LinkChannel,
   sinks: StreamSinks<T>,
 ) => {unsubscribe(): void};
 
-/** Load reports or held answers in flight. */
+/** A stream of load reports or held answers. */
 export class StreamCall<T> implements LinkCall {
   private readonly queue = new EventQueue<T>();
   private subscription: {unsubscribe(): void} | undefined;
   private current: LinkChannel | undefined;
 
   /**
-   * @param subscribe - Begins the stream over a channel.
-   * @param awaited - Whether something must come soon.
+   * @param subscribe - Starts the stream on a channel.
+   * @param expectsResponse - Whether the target has to send data soon, so that
+   *     silence on the connection indicates a fault.
    */
   constructor(
     private readonly subscribe: Subscribe<T>,
-    readonly awaited: boolean,
+    readonly expectsResponse: boolean,
   ) {}
 
-  /** @returns What comes, in order. @throws LinkLostError */
+  /**
+   * @returns The events in the order received.
+   * @throws LinkLostError if the target cannot be reached.
+   */
   events(): AsyncGenerator<T, void, undefined> {
     return this.queue.read();
   }
@@ -52,12 +62,16 @@
     this.queue.end(err);
   }
 
+  /** Ends the events and cancels the subscription at the target. */
   cancel(): void {
     if (this.current?.isOpen) this.subscription?.unsubscribe();
     this.queue.end();
   }
 
-  /** A broken connection is no end: the link moves the call or fails it. */
+  /**
+   * Ends the stream on a refusal only. After a broken connection the link
+   * restarts the call on another connection or fails it.
+   */
   private onError(err: Error): void {
     if (refusalOf(err)) this.queue.end(err);
   }
--- a/packages/wire/src/lib/connection/trpc_target_link.ts
+++ b/packages/wire/src/lib/connection/trpc_target_link.ts
@@ -10,7 +10,7 @@
   ServeEvent,
   ServeRequest,
 } from '@oathead/core';
-import {applyChange} from '../process/load_change.js';
+import {applyLoadChange} from '../process/load_change.js';
 import type {LoadChange} from '../process/load_change.js';
 import type {
   HeldAnswer,
@@ -27,30 +27,30 @@
 import {StreamCall} from './stream_call.js';
 import type {Subscribe} from './stream_call.js';
 
-/** A call whose answer comes in pieces. */
+/** A call whose response is a stream. */
 interface IterableCall<T> extends LinkCall {
   events(): AsyncIterable<T>;
   cancel(): void;
 }
 
-/** A link that replaces its connection when it breaks or goes silent. */
+/** A link that replaces its connection when it breaks or stays silent. */
 export class TrpcTargetLink implements ReportingLink, Disposable {
   private readonly connection: LinkConnection;
 
-  /** @param options - Where to, and how. */
+  /** @param options - The address and the connection settings. */
   constructor(private readonly options: LinkOptions) {
     this.connection = new LinkConnection(options);
   }
 
-  /** The state of the connection. */
+  /** State of the connection. */
   get state(): ConnectionState {
     return this.connection.state;
   }
 
   /**
-   * Runs one request; see {@link TargetLink.serve}. When the target can't be
-   * reached and the request was never sent, it is refused as not run instead of
-   * lost.
+   * Runs one request; see {@link TargetLink.serve}. If the target cannot be
+   * reached and the request was never sent, it ends with a refusal marked as
+   * not run instead of a `LinkLostError`.
    */
   async *serve(
     req: ServeRequest,
@@ -100,12 +100,13 @@
     const subscribe: Subscribe<LoadReport> = (channel, sinks) => {
       let last: LoadReport | undefined;
       const onData = (change: LoadChange) => {
-        last = applyChange(last, change);
+        last = applyLoadChange(last, change);
         sinks.onData(last);
       };
       return channel.api.reports.subscribe(undefined, {...sinks, onData});
     };
-    // They come only when the load changes, so their silence says nothing.
+    // Reports are sent only when the load changes: silence is no sign of a
+    // fault.
     return this.iterate(new StreamCall(subscribe, false), signal);
   }
 
@@ -138,7 +139,7 @@
     );
   }
 
-  /** Closes the connection; calls in flight fail. */
+  /** Closes the connection and fails the calls in flight. */
   [Symbol.dispose](): void {
     this.connection[Symbol.dispose]();
   }
@@ -161,12 +162,12 @@
   }
 
   /**
-   * Guards against listeners that pile up: tRPC leaves one on the signal of
-   * each query, and the signal of a connection's heartbeats lives as long as
-   * the process. Each query gets a signal of its own.
+   * Makes a call with an abort signal of its own. tRPC leaves a listener on the
+   * signal of each query, and the signal passed in may live as long as the
+   * process, as that of heartbeats does: listeners would accumulate on it.
    */
   private async query<T>(query: Query<T>, signal: AbortSignal): Promise<T> {
-    if (signal.aborted) throw new LinkLostError('given up');
+    if (signal.aborted) throw new LinkLostError('the call was aborted');
     const stop = new AbortController();
     const onAbort = () => stop.abort();
     signal.addEventListener('abort', onAbort, {once: true});
@@ -177,7 +178,7 @@
     } finally {
       signal.removeEventListener('abort', onAbort);
       this.connection.end(call);
-      call.end();
+      call.removeAbortListener();
     }
   }
 }
--- a/packages/wire/src/lib/process/load_change.ts
+++ b/packages/wire/src/lib/process/load_change.ts
@@ -1,41 +1,49 @@
 /**
- * Load reports as differences. A report is some 400 bytes and most of it stays
- * the same from one to the next; control has 25 KB a second at each node.
+ * Delta encoding of load reports. A report takes about 400 bytes, most of which
+ * do not change between reports, and control traffic is limited to 25 KB/s per
+ * node.
  */
 import type {LoadReport} from '@oathead/core';
 
-/** Fields of a report that differ from the one before; all in the first. */
+/**
+ * Fields of a load report that differ from the previous report. The first
+ * change in a stream has all fields.
+ */
 export type LoadChange = {readonly [K in keyof LoadReport]?: LoadReport[K]};
 
 /**
- * @param before - The report that the other end has.
- * @param after - The report that it is to have.
- * @returns The fields to replace.
+ * Computes the change between two load reports.
+ *
+ * @param before - The previous report, or undefined for the first one.
+ * @param after - The new report.
+ * @returns The fields that differ; all fields if there is no previous report.
  */
-export function changeOf(
+export function diffLoadReports(
   before: LoadReport | undefined,
   after: LoadReport,
 ): LoadChange {
   if (before === undefined) return after;
   const changed = Object.entries(after).filter(
-    ([field, value]) => !isSame(before[field as keyof LoadReport], value),
+    ([field, value]) => !isEqual(before[field as keyof LoadReport], value),
   );
   return Object.fromEntries(changed);
 }
 
 /**
- * @param before - The last report, if there was one.
- * @param change - What differs.
+ * Applies a change to a load report.
+ *
+ * @param before - The previous report, or undefined for the first one.
+ * @param change - The fields that differ from it.
  * @returns The new report.
  */
-export function applyChange(
+export function applyLoadChange(
   before: LoadReport | undefined,
   change: LoadChange,
 ): LoadReport {
   return {...before, ...change} as LoadReport;
 }
 
-function isSame(a: unknown, b: unknown): boolean {
+function isEqual(a: unknown, b: unknown): boolean {
   if (a === b) return true;
   return typeof a === 'object' && JSON.stringify(a) === JSON.stringify(b);
 }
--- a/packages/wire/src/lib/process/load_report_schema.ts
+++ b/packages/wire/src/lib/process/load_report_schema.ts
@@ -12,7 +12,7 @@
   }),
 );
 
-/** Load of one target. */
+/** Schema of the load report of one target. */
 export const LOAD_REPORT_SCHEMA = schemaOf<LoadReport>()(
   z.object({
     targetId: z.string(),
--- a/packages/wire/src/lib/process/order_schema.ts
+++ b/packages/wire/src/lib/process/order_schema.ts
@@ -1,4 +1,4 @@
-/** Schemas of orders to engines. */
+/** Schemas of orders, which change what an engine serves and in which role. */
 import type {
   EngineRole,
   Fence,
@@ -33,7 +33,7 @@
   ]),
 );
 
-/** An order with its fence. */
+/** Schema of an order with its fencing token. */
 export const ORDER_SCHEMA = schemaOf<Order>()(
   z.object({
     id: z.string().min(1),
@@ -42,7 +42,7 @@
   }),
 );
 
-/** Whether an order was taken. */
+/** Schema of the outcome of an order: taken or refused. */
 export const ORDER_OUTCOME_SCHEMA = schemaOf<OrderOutcome>()(
   z.discriminatedUnion('kind', [
     z.object({kind: z.literal('taken')}),
--- a/packages/wire/src/lib/process/target_handler.ts
+++ b/packages/wire/src/lib/process/target_handler.ts
@@ -1,4 +1,4 @@
-/** What a target process answers over the wire. */
+/** The interface that a target process implements for its remote callers. */
 import type {
   Answer,
   LoadReport,
@@ -9,96 +9,99 @@
 } from '@oathead/core';
 import type {Attachment} from '../request/attachment.js';
 
-/** Tells a link which process answers at the other end. */
+/** Identifies the target process on a connection. */
 export interface Hello {
   readonly targetId: string;
-  /** Changes with each start of the target process. */
+  /** Unique to each start of the target process. */
   readonly bootId: string;
 }
 
-/** A keyed request's answer that its entry has not released. */
+/** The answer to a keyed request that its entry has not released yet. */
 export interface HeldAnswer {
   readonly dedupeKey: string;
-  /** The request. */
+  /** Id of the request. */
   readonly id: string;
   readonly caller: string;
   readonly work: Work;
   readonly answer: Answer;
 }
 
-/** The outcome of a key, as a target process remembers it. */
+/** The outcome of a keyed request, as stored by a target process. */
 export interface RecalledOutcome {
-  /** Fingerprint of the work that was asked for. */
+  /** Fingerprint of the requested work. */
   readonly work: string;
   readonly outcome: ServeOutcome;
 }
 
-/** A link on which the target reports its load without being asked. */
+/** A target link that also gives load reports, held answers and outcomes. */
 export interface ReportingLink extends TargetLink {
   /**
-   * Load reports, pushed when something has changed, at a bounded rate.
+   * Subscribes to load reports. The target sends one when its load has changed,
+   * at a bounded rate.
    *
-   * @param signal - Ends the reports.
-   * @returns Reports in order; the first one comes at once.
-   * @throws LinkLostError
+   * @param signal - Ends the subscription.
+   * @returns The reports in order; the first one is sent immediately.
+   * @throws LinkLostError if the connection is lost.
    */
   reports(signal: AbortSignal): AsyncIterable<LoadReport>;
   /**
-   * Tells that the outcomes of keyed requests are written, so that the target
-   * process need not hold them any longer.
+   * Notifies the target process that the outcomes of keyed requests have been
+   * written, so that it no longer needs to hold them.
    *
    * @param dedupeKeys - The keys of the requests.
-   * @throws LinkLostError
+   * @throws LinkLostError if the connection is lost.
    */
   release(dedupeKeys: readonly string[]): Promise<void>;
   /**
-   * Asks for answers that an entry has not released. Whoever takes over from an
-   * entry that died writes them in its place, and releases them.
+   * Fetches the answers that an entry has not released. The entry that takes
+   * over from a failed entry writes them in its place and releases them.
    *
    * @param entryId - The entry that sent the requests.
-   * @param signal - Gives up.
-   * @returns The answers.
-   * @throws LinkLostError
+   * @param signal - Aborts the call.
+   * @returns The held answers.
+   * @throws LinkLostError if the connection is lost.
    */
   held(entryId: string, signal: AbortSignal): AsyncIterable<HeldAnswer>;
   /**
-   * Asks for the outcome of one key, waiting for the end of a run of it. It
-   * never starts one.
+   * Fetches the outcome of a keyed request. If a run of the request is in
+   * progress, waits for its end; never starts a run.
    *
-   * @param dedupeKey - The key.
-   * @param signal - Gives up.
-   * @returns Undefined where the key is not known.
-   * @throws LinkLostError
+   * @param dedupeKey - The key of the request.
+   * @param signal - Aborts the call.
+   * @returns The outcome, or undefined if the key is unknown.
+   * @throws LinkLostError if the connection is lost.
    */
   recall(
     dedupeKey: string,
     signal: AbortSignal,
   ): Promise<RecalledOutcome | undefined>;
   /**
-   * @param signal - Gives up.
-   * @returns Fingerprints of some prompt prefixes that the engine has cached,
-   *     those stored last first.
-   * @throws LinkLostError
+   * @param signal - Aborts the call.
+   * @returns Fingerprints of some of the prompt prefixes in the cache of the
+   *     engine, most recently stored first.
+   * @throws LinkLostError if the connection is lost.
    */
   cachedPrefixes(signal: AbortSignal): Promise<readonly string[]>;
 }
 
 /**
- * The target process as the wire sees it. Aborting `serve` or `attach` with a
- * `LinkLostError` as the reason tells that the connection broke: the request
- * then runs on for a short grace, so that the link can attach again. Any other
- * reason, and an early end of the iteration, cancels it at once.
+ * Handles the calls to a target process. Aborting `serve` or `attach` with a
+ * `LinkLostError` as the reason means that the connection broke: the request
+ * then continues to run for a short grace period, so that the link can reattach
+ * to it. Any other reason, and an early end of the iteration, cancels the
+ * request immediately.
  */
 export interface TargetHandler extends ReportingLink {
+  /** @returns The identity of the target process. */
   hello(): Hello;
   /**
-   * Goes on with a request that was sent over a connection now broken. It
-   * never starts one: a request that hasn't arrived is refused as not run and
-   * will not be started if it arrives later.
+   * Resumes the stream of a request that was sent over a connection that has
+   * since broken. Never starts a request: one that has not arrived is refused
+   * as not run and is not started if it arrives later.
    *
-   * @param attachment - The request and what has come of its answer.
+   * @param attachment - The request and the position in its stream.
    * @param signal - Ends the stream.
-   * @returns What is still to come of the answer.
+   * @returns The events behind that position.
    */
   attach(
     attachment: Attachment,
--- a/packages/wire/src/lib/process/target_router.ts
+++ b/packages/wire/src/lib/process/target_router.ts
@@ -7,17 +7,17 @@
 import {HEARTBEAT_SCHEMA} from '../connection/heartbeat_schema.js';
 import {ATTACHMENT_SCHEMA} from '../request/attachment.js';
 import {SERVE_REQUEST_SCHEMA} from '../request/serve_schema.js';
-import {changeOf} from './load_change.js';
+import {diffLoadReports} from './load_change.js';
 import {ORDER_SCHEMA} from './order_schema.js';
 import type {TargetHandler} from './target_handler.js';
 
-/** What each call over one connection gets. */
+/** Context of each call on a connection. */
 export interface WireContext {
   readonly handler: TargetHandler;
   readonly socket: WebSocket;
 }
 
-/** Problems with an input, as they travel in an error. */
+/** Validation problems of an input, as sent in the `data` of a tRPC error. */
 export interface WireProblems {
   readonly problems?: readonly {
     readonly path: string;
@@ -32,7 +32,7 @@
   },
 });
 
-/** The procedures of a target process. */
+/** The tRPC procedures of a target process. */
 export const targetRouter = t.router({
   hello: t.procedure.query(({ctx}) => ctx.handler.hello()),
   serve: t.procedure.input(SERVE_REQUEST_SCHEMA).subscription(async function* ({
@@ -52,7 +52,7 @@
   reports: t.procedure.subscription(async function* ({ctx, signal}) {
     let last: LoadReport | undefined;
     for await (const report of ctx.handler.reports(signal!)) {
-      yield changeOf(last, report);
+      yield diffLoadReports(last, report);
       last = report;
     }
   }),
@@ -84,9 +84,13 @@
 export type TargetRouter = typeof targetRouter;
 
 /**
- * Tells a caller that has gone from a connection that has broken. tRPC aborts
- * a subscription alike in both cases; the socket is still open only when the
- * other end has asked for the stop.
+ * Derives a signal whose abort reason tells a cancelled request from a broken
+ * connection. tRPC aborts a subscription in the same way in both cases, but the
+ * socket is still open only if the other side cancelled the subscription.
+ *
+ * @param signal - The signal of the subscription.
+ * @param socket - The connection that carries the subscription.
+ * @returns A signal that aborts with a `LinkLostError` if the connection broke.
  */
 function callSignal(signal: AbortSignal, socket: WebSocket): AbortSignal {
   const call = new AbortController();
--- a/packages/wire/src/lib/process/wire_server.ts
+++ b/packages/wire/src/lib/process/wire_server.ts
@@ -1,25 +1,26 @@
-/** The target's end of the wire. */
+/** Serves the procedures of a target process over WebSocket connections. */
 import {applyWSSHandler} from '@trpc/server/adapters/ws';
 import type {WebSocketServer} from 'ws';
 import type {TargetHandler} from './target_handler.js';
 import {targetRouter} from './target_router.js';
 
 /**
- * An entry that was paused, or lost without a word, must not hold its requests
- * at the engine and its connection for good: one that sends nothing for so long
- * and does not answer a ping is closed. In milliseconds.
+ * Keep-alive settings, in milliseconds. An entry that was suspended, or that
+ * failed without closing its connection, must not occupy the engine and the
+ * connection indefinitely: a connection that is idle for the ping interval is
+ * pinged, and it is closed if the entry does not respond in time.
  */
-const PING_MS = 10_000;
-const PONG_WAIT_MS = 5_000;
+const PING_INTERVAL_MS = 10_000;
+const PONG_TIMEOUT_MS = 5_000;
 
-/** Close code that tells a peer that this process is going away. */
-const GOING_AWAY = 1001;
+/** WebSocket close code 1001: the endpoint is going away. */
+const GOING_AWAY_CODE = 1001;
 
 /**
- * Answers every connection of a WebSocket server from a handler.
+ * Serves the procedures of a handler on every connection of a WebSocket server.
  *
- * @param server - The server; it stays the caller's to close.
- * @param handler - What answers.
+ * @param server - The server. Closing it remains up to the caller.
+ * @param handler - Handles the calls.
  * @returns A disposable that closes the connections.
  */
 export function serveWire(
@@ -30,11 +31,15 @@
     wss: server,
     router: targetRouter,
     createContext: ({res}) => ({handler, socket: res}),
-    keepAlive: {enabled: true, pingMs: PING_MS, pongWaitMs: PONG_WAIT_MS},
+    keepAlive: {
+      enabled: true,
+      pingMs: PING_INTERVAL_MS,
+      pongWaitMs: PONG_TIMEOUT_MS,
+    },
   });
   return {
     [Symbol.dispose]: () => {
-      for (const socket of server.clients) socket.close(GOING_AWAY);
+      for (const socket of server.clients) socket.close(GOING_AWAY_CODE);
     },
   };
 }
--- a/packages/wire/src/lib/request/attachment.ts
+++ b/packages/wire/src/lib/request/attachment.ts
@@ -1,18 +1,19 @@
-/** How a link asks about a request that it sent over another connection. */
+/** The message by which a link reattaches to a request after a reconnect. */
 import {z} from 'zod';
 import {schemaOf} from './schema_of.js';
 
-/** A request that was sent before, and how much of its answer has come. */
+/** Names a request that was sent earlier and the position in its stream. */
 export interface Attachment {
+  /** Id of the request. */
   readonly id: string;
   readonly attempt: number;
-  /** The boot of the target process that the request was sent to. */
+  /** Boot id of the target process that the request was sent to. */
   readonly bootId: string;
-  /** How long ago it was sent, in milliseconds on the clock of the link. */
+  /** Time since the request was sent, in milliseconds on the link's clock. */
   readonly sentAgoMs: number;
-  /** Whether `started` has come. */
+  /** Whether the `started` event was received. */
   readonly startedSeen: boolean;
-  /** How many tokens have come: the stream goes on behind them. */
+  /** Number of tokens received; the stream resumes after them. */
   readonly tokensSeen: number;
 }
 
--- a/packages/wire/src/lib/request/refusal_schema.ts
+++ b/packages/wire/src/lib/request/refusal_schema.ts
@@ -16,33 +16,37 @@
   }),
 );
 
-const RAN_SCHEMA = schemaOf<RunStatus>()(z.enum(['not-run', 'may-have-run']));
+const RUN_STATUS_SCHEMA = schemaOf<RunStatus>()(
+  z.enum(['not-run', 'may-have-run']),
+);
 
-const COMMON = {
+/** Fields of all kinds of refusal. */
+const COMMON_FIELDS = {
   message: z.string(),
-  ran: RAN_SCHEMA,
+  ran: RUN_STATUS_SCHEMA,
   retryAfterMs: z.number().nonnegative().optional(),
 };
 
+/** Kinds of refusal that have fields of their own. */
 const KINDS_WITH_FIELDS = new Set(['invalid-request', 'revision-conflict']);
 
 const PLAIN_KINDS = Object.keys(REFUSAL_STATUS).filter(
   kind => !KINDS_WITH_FIELDS.has(kind),
 ) as PlainRefusalKind[];
 
-/** Why a request was not answered. */
+/** Schema of a refusal, which states why a request was not answered. */
 export const REFUSAL_SCHEMA = schemaOf<Refusal>()(
   z.discriminatedUnion('kind', [
     z.object({
       kind: z.literal('invalid-request'),
       problems: z.array(PROBLEM_SCHEMA).readonly().optional(),
-      ...COMMON,
+      ...COMMON_FIELDS,
     }),
     z.object({
       kind: z.literal('revision-conflict'),
       currentVersion: z.number(),
-      ...COMMON,
+      ...COMMON_FIELDS,
     }),
-    z.object({kind: z.enum(PLAIN_KINDS), ...COMMON}),
+    z.object({kind: z.enum(PLAIN_KINDS), ...COMMON_FIELDS}),
   ]),
 );
--- a/packages/wire/src/lib/request/schema_of.ts
+++ b/packages/wire/src/lib/request/schema_of.ts
@@ -1,7 +1,10 @@
-/** Schemas that are checked against the types of core when they are compiled. */
+/** Compile-time checks of schemas against the types of the core package. */
 import type {z} from 'zod';
 
-/** Every path of properties of a type, with unions and arrays taken apart. */
+/**
+ * The dotted property paths of a type, across all members of unions and the
+ * elements of arrays.
+ */
 type Paths<T> = T extends readonly (infer E)[]
   ? Paths<E>
   : T extends object
@@ -12,19 +15,26 @@
         }[keyof T & string]
     : never;
 
-type Missing<T, S extends z.ZodType> = Exclude<Paths<T>, Paths<z.output<S>>>;
+/** The property paths of a type that the output of a schema lacks. */
+type MissingPaths<T, S extends z.ZodType> = Exclude<
+  Paths<T>,
+  Paths<z.output<S>>
+>;
 
-/** Anything, unless the schema lacks a field; then it names the field. */
-type Covers<T, S extends z.ZodType> = [Missing<T, S>] extends [never]
+/**
+ * `unknown` if the schema has all fields of the type; otherwise a type that no
+ * schema satisfies and that names the missing fields in the compiler error.
+ */
+type Covers<T, S extends z.ZodType> = [MissingPaths<T, S>] extends [never]
   ? unknown
-  : {readonly lacks: Missing<T, S>};
+  : {readonly lacks: MissingPaths<T, S>};
 
 /**
- * Guards against a field that is dropped in silence: a schema that lacks an
- * optional field still fits its type, and what it parses loses the field. Such
- * a schema does not compile here.
+ * Checks at compile time that a schema has every field of a type. A schema that
+ * lacks an optional field would otherwise be assignable to the type, and
+ * parsing would silently drop the field.
  *
- * @returns A function that takes a schema of `T` and gives it back.
+ * @returns A function that returns the schema of `T` passed to it.
  */
 export function schemaOf<T>() {
   return <S extends z.ZodType<T>>(schema: S & Covers<T, S>): S => schema;
--- a/packages/wire/src/lib/request/serve_schema.ts
+++ b/packages/wire/src/lib/request/serve_schema.ts
@@ -1,4 +1,4 @@
-/** Schemas of one request between an entry and a target process. */
+/** Schemas of a request to a target process and of its stream of events. */
 import type {
   PartialAnswer,
   ServeClass,
@@ -12,14 +12,14 @@
 
 const SERVE_CLASS_SCHEMA = schemaOf<ServeClass>()(z.enum(['online', 'batch']));
 
-const PARTIAL_SCHEMA = schemaOf<PartialAnswer>()(
+const PARTIAL_ANSWER_SCHEMA = schemaOf<PartialAnswer>()(
   z.object({
     text: z.string(),
     tokens: z.int().nonnegative(),
   }),
 );
 
-/** What an entry asks of a target process; parsed on each request. */
+/** Schema of a request to a target process; applied to each request. */
 export const SERVE_REQUEST_SCHEMA = schemaOf<ServeRequest>()(
   z.object({
     id: z.string().min(1),
@@ -34,15 +34,15 @@
     promptTokens: z.int().nonnegative(),
     stream: z.boolean(),
     suspect: z.boolean().optional(),
-    resume: PARTIAL_SCHEMA.optional(),
+    resume: PARTIAL_ANSWER_SCHEMA.optional(),
     traceparent: z.string().optional(),
   }),
 );
 
 /**
- * What a target process tells about a request. The link does not parse each
- * event with it: between two ends of one build that would only cost
- * processor time on every token.
+ * Schema of the events of a request. The link does not validate events against
+ * it: between two sides of the same build, validation would only cost processor
+ * time on every token.
  */
 export const SERVE_EVENT_SCHEMA = schemaOf<ServeEvent>()(
   z.discriminatedUnion('kind', [
@@ -54,7 +54,7 @@
       text: z.string(),
     }),
     z.object({kind: z.literal('done'), answer: ANSWER_SCHEMA}),
-    z.object({kind: z.literal('yielded'), partial: PARTIAL_SCHEMA}),
+    z.object({kind: z.literal('yielded'), partial: PARTIAL_ANSWER_SCHEMA}),
     z.object({kind: z.literal('refused'), refusal: REFUSAL_SCHEMA}),
   ]),
 );
--- a/packages/wire/src/lib/request/work_schema.ts
+++ b/packages/wire/src/lib/request/work_schema.ts
@@ -1,4 +1,4 @@
-/** Schemas of what callers want done, and of whole answers. */
+/** Schemas of the work that callers request and of complete answers. */
 import type {
   Answer,
   ChatMessage,
@@ -55,7 +55,7 @@
   }),
 );
 
-/** What a caller wants done. */
+/** Schema of requested work: a completion or a call of a service. */
 export const WORK_SCHEMA = schemaOf<Work>()(
   z.discriminatedUnion('kind', [COMPLETION_SCHEMA, SERVICE_CALL_SCHEMA]),
 );
@@ -71,7 +71,7 @@
   z.enum(['stop', 'length']),
 );
 
-/** A whole answer. */
+/** Schema of a complete answer. */
 export const ANSWER_SCHEMA = schemaOf<Answer>()(
   z.discriminatedUnion('kind', [
     z.object({
--- a/packages/wire/src/lib/version/target_config_schema.ts
+++ b/packages/wire/src/lib/version/target_config_schema.ts
@@ -1,7 +1,8 @@
 /**
- * Schema of a target process's configuration. What values make sense is checked
- * where operators write them: a target process that refused a whole
- * configuration for one of them would be stuck at an old one.
+ * Schema of the configuration of a target process. Whether values are sensible
+ * is validated where operators write them: a target process that rejected a
+ * whole configuration because of one value would keep running with an outdated
+ * one.
  */
 import type {BatchPolicy, PoolConfig, TargetConfig} from '@oathead/core';
 import {z} from 'zod';
@@ -26,7 +27,7 @@
   }),
 );
 
-/** The configuration of one target process. */
+/** Schema of the configuration of one target process. */
 export const TARGET_CONFIG_SCHEMA = schemaOf<TargetConfig>()(
   z.object({
     revision: z.int().nonnegative(),
