--- a/packages/wire/src/test/connection/trpc_target_link_test.ts
+++ b/packages/wire/src/test/connection/trpc_target_link_test.ts
@@ -15,7 +15,7 @@
 const STARTED = {kind: 'started', version: 'v1'} as const;
 const DONE: ServeEvent = {kind: 'done', answer: ANSWER};
 
-test('carries a request and its whole answer', async t => {
+test('transmits a request and its complete answer', async t => {
   const {handler, link} = await startWire(t);
   const caller = collect(link.serve(REQUEST, NEVER));
   const call = await handler.nextCall();
@@ -29,18 +29,18 @@
   t.deepEqual(caller.got, [STARTED, tokens, DONE]);
 });
 
-test('a caller that leaves cancels the request at the target', async t => {
+test('aborting a call cancels the request at the target', async t => {
   const {handler, link} = await startWire(t);
-  const gone = new AbortController();
-  const caller = collect(link.serve(REQUEST, gone.signal));
+  const controller = new AbortController();
+  const caller = collect(link.serve(REQUEST, controller.signal));
   const call = await handler.nextCall();
-  gone.abort();
+  controller.abort();
   await caller.ended;
   await once(call.signal, 'abort');
   t.false(call.signal.reason instanceof LinkLostError);
 });
 
-test('a request that the target does not understand has not run', async t => {
+test('an invalid request is refused by the target as not run', async t => {
   const {handler, link} = await startWire(t);
   const broken = {...REQUEST, timeoutMs: -1};
   const caller = collect(link.serve(broken, NEVER));
@@ -54,9 +54,9 @@
   t.is(handler.calls.length, 0);
 });
 
-// Heartbeats go on for months under one signal. Each one left a listener on it,
-// and the process grew until it was restarted.
-test('a heartbeat leaves nothing behind on its signal', async t => {
+// Guards against a memory leak: all heartbeats of a connection share one signal
+// for the life of the process, and each of them left a listener on it.
+test('a heartbeat leaves no listener on its signal', async t => {
   const {link} = await startWire(t);
   const {signal} = new AbortController();
   for (let nth = 0; nth < 3; nth++) {
@@ -65,7 +65,7 @@
   t.is(getEventListeners(signal, 'abort').length, 0);
 });
 
-test('carries all other messages', async t => {
+test('transmits all other messages', async t => {
   const {handler, link} = await startWire(t);
   const heartbeat = {entryId: 'e1', cfgRevision: 3};
   t.deepEqual(await link.heartbeat(heartbeat, NEVER), {
@@ -85,7 +85,7 @@
   t.like(value, {dedupeKey: 'e1/k1', answer: ANSWER});
 });
 
-test('carries load reports as changes', async t => {
+test('transmits load reports as changes', async t => {
   const {handler, link} = await startWire(t);
   const reports = link.reports(NEVER);
   handler.loads.push(LOAD);
@@ -95,7 +95,7 @@
   t.deepEqual((await reports.next()).value, next);
 });
 
-test('a request whose target cannot be reached has not run', async t => {
+test('a request to an unreachable target is refused as not run', async t => {
   const {link, proxy} = await startWire(t);
   proxy.refusing = true;
   const caller = collect(link.serve(REQUEST, NEVER));
@@ -107,11 +107,11 @@
   t.is(link.state, 'lost');
 });
 
-// A caller's stream stalls in mid-sentence and would hang for good. Something
-// between entry and target has forgotten the connection: nothing comes and no
-// error either, while new connections work. The link must go on over a new one
-// from the token it had, and the target must not run the request again.
-test('a silent connection is replaced and its stream goes on', async t => {
+// Guards against a stream that hangs indefinitely. A device between entry and
+// target loses the state of the connection: no data and no error arrives, while
+// new connections work. The link must resume the stream on a new connection
+// after the last token received, and the target must not run the request again.
+test('a silent connection is replaced and its stream resumes', async t => {
   const {clock, advance} = virtualClock();
   const {handler, link, proxy} = await startWire(t, {clock, silenceMs: 500});
   const caller = collect(link.serve(REQUEST, NEVER));
@@ -140,9 +140,10 @@
   t.deepEqual(caller.got.slice(2), [rest, DONE]);
 });
 
-// The same with a connection that breaks: the caller must not notice, and the
-// target must be able to tell it from a caller that has gone.
-test('a request is attached to again, never sent twice', async t => {
+// Guards against requests that run twice, or are cancelled, because their
+// connection breaks. The link must reattach without an error to the caller, and
+// the target must be able to tell a broken connection from a cancelled request.
+test('a request is reattached to, not resent, on a new connection', async t => {
   const {handler, link, proxy} = await startWire(t);
   const caller = collect(link.serve(REQUEST, NEVER));
   const first = await handler.nextCall();
@@ -158,9 +159,10 @@
   t.is(handler.calls.filter(({req}) => req).length, 1);
 });
 
-// The target itself is dead: its connection is silent and a new one fails too.
-// Only now is it given up, and the caller told that its request may have run.
-test('a target is given up when a new connection fails too', async t => {
+// Guards against a request that waits forever for a failed target: its
+// connection is silent and a new connection fails too. Only then must the link
+// report the target as lost, with an error that means the request may have run.
+test('a target is lost when the replacement connection fails too', async t => {
   const {clock, advance} = virtualClock();
   const {handler, link, proxy} = await startWire(t, {clock, silenceMs: 500});
   const caller = collect(link.serve(REQUEST, NEVER));
@@ -176,9 +178,9 @@
   t.is(link.state, 'open');
 });
 
-// A target process has a fault and ends a stream without an outcome. It must
-// not look like a finished answer.
-test('a stream that ends without an outcome is lost', async t => {
+// Guards against a truncated answer that looks complete, when a faulty target
+// process ends a stream without a final event.
+test('a stream that ends without a final event is lost', async t => {
   const {handler, link} = await startWire(t);
   const caller = collect(link.serve(REQUEST, NEVER));
   const call = await handler.nextCall();
--- a/packages/wire/src/test/request/serve_schema_test.ts
+++ b/packages/wire/src/test/request/serve_schema_test.ts
@@ -31,7 +31,7 @@
   refusal: {kind: 'leaving', message: 'm', ran: 'not-run', retryAfterMs: 5},
 };
 
-test('carries every field', t => {
+test('parsing preserves every field', t => {
   t.deepEqual<unknown, unknown>(
     SERVE_REQUEST_SCHEMA.parse(FULL_REQUEST),
     FULL_REQUEST,
@@ -40,7 +40,7 @@
   t.deepEqual<unknown, unknown>(SERVE_EVENT_SCHEMA.parse(REFUSED), REFUSED);
 });
 
-test('tells with its path what does not fit', t => {
+test('reports the path of an invalid field', t => {
   const broken = {...FULL_REQUEST, work: {...FULL_REQUEST.work, maxTokens: 0}};
   const parsed = SERVE_REQUEST_SCHEMA.safeParse(broken);
   t.is(parsed.error?.issues[0]?.path.join('.'), 'work.maxTokens');
--- a/packages/wire/src/test/wire_fixture.ts
+++ b/packages/wire/src/test/wire_fixture.ts
@@ -1,4 +1,7 @@
-/** Both ends of the wire on loopback, with a proxy that can fall silent. */
+/**
+ * A link and a target server on the loopback interface, connected through a
+ * proxy that simulates network faults.
+ */
 import {NO_COUNTERS, SYSTEM_CLOCK} from '@oathead/core';
 import type {
   Answer,
@@ -20,16 +23,16 @@
 import {serveWire} from '../lib/process/wire_server.js';
 import type {Attachment} from '../lib/request/attachment.js';
 
-/** A call that the handler got. */
+/** A call received by the handler. */
 export interface HandlerCall {
   readonly req?: ServeRequest;
   readonly attachment?: Attachment;
   readonly signal: AbortSignal;
-  /** What the test answers. */
+  /** Events that the test sends in response. */
   readonly answer: EventQueue<ServeEvent>;
 }
 
-/** A handler whose every answer is made by the test. */
+/** A handler whose responses are supplied by the test. */
 export class ScriptedHandler implements TargetHandler {
   readonly calls: HandlerCall[] = [];
   readonly released: string[] = [];
@@ -43,11 +46,11 @@
   }
 
   serve(req: ServeRequest, signal: AbortSignal) {
-    return this.called({req, signal, answer: new EventQueue()});
+    return this.recordCall({req, signal, answer: new EventQueue()});
   }
 
   attach(attachment: Attachment, signal: AbortSignal) {
-    return this.called({attachment, signal, answer: new EventQueue()});
+    return this.recordCall({attachment, signal, answer: new EventQueue()});
   }
 
   async heartbeat() {
@@ -84,12 +87,12 @@
     return ['p1', 'p2'];
   }
 
-  /** The next call that arrives. */
+  /** @returns The next call, once it arrives. */
   async nextCall(): Promise<HandlerCall> {
     return (await this.arriving.next()).value as HandlerCall;
   }
 
-  private async *called(call: HandlerCall) {
+  private async *recordCall(call: HandlerCall) {
     this.calls.push(call);
     this.arrivals.push(call);
     call.signal.addEventListener('abort', () => call.answer.end());
@@ -143,11 +146,12 @@
   version: 'v1',
 };
 
-/** Forwards connections; those open can be silenced or cut. */
-export class LossyProxy {
+/** A TCP proxy whose open connections can be silenced or broken. */
+export class FaultyProxy {
   private readonly pairs = new Set<readonly [Socket, Socket]>();
   private readonly server: Server;
   accepted = 0;
+  /** Whether new connections are closed immediately. */
   refusing = false;
 
   constructor(private readonly port: number) {
@@ -160,21 +164,21 @@
     return (this.server.address() as AddressInfo).port;
   }
 
-  /** Those open pass nothing on any more, and no error either. */
+  /** Makes the open connections discard all data without raising an error. */
   silence(): void {
-    for (const [near, far] of this.pairs) {
-      near.unpipe(far);
-      far.unpipe(near);
-      near.resume();
-      far.resume();
+    for (const [client, upstream] of this.pairs) {
+      client.unpipe(upstream);
+      upstream.unpipe(client);
+      client.resume();
+      upstream.resume();
     }
   }
 
-  /** Those open break. */
+  /** Breaks the open connections. */
   cut(): void {
-    for (const [near, far] of this.pairs) {
-      near.destroy();
-      far.destroy();
+    for (const [client, upstream] of this.pairs) {
+      client.destroy();
+      upstream.destroy();
     }
   }
 
@@ -183,24 +187,27 @@
     this.server.close();
   }
 
-  private onConnection(near: Socket): void {
+  private onConnection(client: Socket): void {
     this.accepted++;
     if (this.refusing) {
-      near.destroy();
+      client.destroy();
       return;
     }
-    const far = connect(this.port, '127.0.0.1');
-    this.pairs.add([near, far]);
-    near.on('error', () => {});
-    far.on('error', () => {});
-    near.on('close', () => far.destroy());
-    far.on('close', () => near.destroy());
-    near.pipe(far);
-    far.pipe(near);
+    const upstream = connect(this.port, '127.0.0.1');
+    this.pairs.add([client, upstream]);
+    client.on('error', () => {});
+    upstream.on('error', () => {});
+    client.on('close', () => upstream.destroy());
+    upstream.on('close', () => client.destroy());
+    client.pipe(upstream);
+    upstream.pipe(client);
   }
 }
 
-/** A clock that only the test moves. */
+/**
+ * @returns A clock that only the test advances, and the function that advances
+ *     it by a number of milliseconds.
+ */
 export function virtualClock() {
   const timers = createClock(1_000);
   const clock: Clock = {
@@ -214,7 +221,10 @@
   return {clock, advance: (ms: number) => void timers.tick(ms)};
 }
 
-/** Starts a target end, a proxy before it, and a link through the proxy. */
+/**
+ * Starts a target server, a proxy in front of it, and a link through the proxy.
+ * All are closed at the end of the test.
+ */
 export async function startWire(
   t: ExecutionContext,
   options: Partial<LinkOptions> = {},
@@ -223,7 +233,7 @@
   const server = new WebSocketServer({port: 0, host: '127.0.0.1'});
   await once(server, 'listening');
   const wire = serveWire(server, handler);
-  const proxy = new LossyProxy((server.address() as AddressInfo).port);
+  const proxy = new FaultyProxy((server.address() as AddressInfo).port);
   const port = await proxy.listen();
   const link = new TrpcTargetLink({
     url: `ws://127.0.0.1:${port}`,
@@ -241,7 +251,12 @@
   return {handler, link, proxy, server, port};
 }
 
-/** Collects what a link tells about a request. */
+/**
+ * Collects the events of a request.
+ *
+ * @returns The events received so far, and a promise that settles when the
+ *     iteration ends.
+ */
 export function collect(events: AsyncIterable<ServeEvent>) {
   const got: ServeEvent[] = [];
   const ended = (async () => {
