--- a/packages/membership/src/index.ts
+++ b/packages/membership/src/index.ts
@@ -1,6 +1,7 @@
 /**
- * Leases of entries, shares of work with epochs, the one-row head that every
- * entry polls, and subsets of targets.
+ * Cluster membership of the entry processes: leases of entries, ownership of
+ * shares of work with epochs as fencing tokens, and the head, the one row that
+ * every entry polls to detect changes.
  *
  * @packageDocumentation
  */
--- a/packages/membership/src/lib/process/directory.ts
+++ b/packages/membership/src/lib/process/directory.ts
@@ -1,19 +1,21 @@
 /**
- * The row `members`: all entries and the owners of all shares, in one row. An
- * entry that learns from the head that members changed reads this one row, and
- * not 340 leases and every share. It is written in the same transaction as the
- * leases and shares it repeats, so it never differs from them, and the check of
- * its version puts all changes of ownership in one order.
+ * The directory: the row `members`, which lists all entries and the owners of
+ * all shares. When the head shows that the members changed, an entry reads this
+ * one row instead of up to 340 lease rows and every share row. The directory is
+ * written in the same transaction as the lease and share rows that it
+ * duplicates, so it is always consistent with them. Each such transaction is
+ * conditional on the version of the directory, which serialises all changes of
+ * ownership.
  */
 import {hash32, rendezvous} from '@oathead/core';
 import type {JsonObject, Row} from '@oathead/stores';
 import {z} from 'zod';
 
-/** Key of the directory. */
+/** Key of the directory row. */
 export const DIRECTORY_KEY = 'members';
 
-/** Owner of a share that nobody owns. */
-export const NOBODY = '';
+/** Stored as the owner of a share that has no owner. */
+export const NO_OWNER = '';
 
 const entrySchema = z
   .object({
@@ -30,21 +32,25 @@
     shares: z
       .array(z.object({owner: z.string(), epoch: z.number()}).readonly())
       .readonly(),
-    /** Counts joins; the epoch of the last lease. */
+    /** Number of joins so far, which is the epoch of the latest lease. */
     joins: z.number(),
   })
   .readonly();
 
-/** An entry, as the directory tells. */
+/** An entry as recorded in the directory. */
 export type DirectoryEntry = z.infer<typeof entrySchema>;
 
-/** All entries, and the owner of each share by its number. */
+/** All entries by id, and the owner of each share by share number. */
 export type Directory = z.infer<typeof directorySchema>;
 
 /**
+ * Decodes the directory.
+ *
  * @param row - The row as read.
- * @param shareCount - Number of shares, for a fleet that has no row yet.
- * @returns The directory in it.
+ * @param shareCount - Number of shares, used while the row does not exist.
+ * @returns The stored directory; without a row, a directory with no entries
+ *     and with all shares unowned.
+ * @throws If the row does not match the schema.
  */
 export function directoryOf(
   row: Row | undefined,
@@ -52,25 +58,25 @@
 ): Directory {
   if (row !== undefined) return directorySchema.parse(row.value);
   const shares = Array.from({length: shareCount}, () => ({
-    owner: NOBODY,
+    owner: NO_OWNER,
     epoch: 0,
   }));
   return {entries: {}, shares, joins: 0};
 }
 
 /**
- * @param directory - All entries.
- * @returns The same, as a row carries it.
+ * @param directory - The directory.
+ * @returns The directory as the JSON value of its row.
  */
 export function directoryJson(directory: Directory): JsonObject {
   return {...directory};
 }
 
 /**
- * @param directory - All entries.
- * @param entryId - An entry.
- * @param entry - What is to be said of it.
- * @returns The directory that says so.
+ * @param directory - The directory.
+ * @param entryId - Id of the entry to add or replace.
+ * @param entry - The record to store for it.
+ * @returns A copy of the directory with that record.
  */
 export function withEntry(
   directory: Directory,
@@ -81,9 +87,10 @@
 }
 
 /**
- * @param directory - All entries.
- * @param entryId - The entry that is gone.
- * @returns The directory without it. Its shares still name it.
+ * @param directory - The directory.
+ * @param entryId - Id of the entry to remove.
+ * @returns A copy of the directory without that entry. Its shares still name
+ *     it as their owner, which makes them orphans.
  */
 export function withoutEntry(directory: Directory, entryId: string): Directory {
   const entries = Object.fromEntries(
@@ -93,10 +100,11 @@
 }
 
 /**
- * @param directory - All entries.
- * @returns Those that may be given shares, in a stable order.
+ * @param directory - The directory.
+ * @returns Ids of the entries that may be assigned shares, which are those that
+ *     are not draining, in sorted order.
  */
-export function stayingEntries(directory: Directory): readonly string[] {
+export function eligibleOwners(directory: Directory): readonly string[] {
   return Object.entries(directory.entries)
     .filter(([, entry]) => !entry.leaving)
     .map(([id]) => id)
@@ -104,20 +112,23 @@
 }
 
 /**
- * @param share - A share.
- * @param staying - Entries that may be given shares.
- * @returns The entry that is to own it.
+ * Chooses the owner of a share by rendezvous hashing.
+ *
+ * @param share - Number of the share.
+ * @param eligible - Ids of the entries that may be assigned shares.
+ * @returns Id of the entry that should own the share; {@link NO_OWNER} if no
+ *     entry is eligible.
  */
 export function preferredOwner(
   share: number,
-  staying: readonly string[],
+  eligible: readonly string[],
 ): string {
-  return rendezvous(`share/${share}`, staying)[0] ?? NOBODY;
+  return rendezvous(`share/${share}`, eligible)[0] ?? NO_OWNER;
 }
 
 /**
- * @param directory - All entries.
- * @returns Shares whose owner is no entry any more.
+ * @param directory - The directory.
+ * @returns Numbers of the shares whose owner is not in the directory.
  */
 export function orphanShares(directory: Directory): readonly number[] {
   return directory.shares.flatMap(({owner}, share) =>
@@ -126,9 +137,9 @@
 }
 
 /**
- * @param directory - All entries.
- * @param entryId - An entry.
- * @returns The shares that it owns.
+ * @param directory - The directory.
+ * @param entryId - Id of an entry.
+ * @returns Numbers of the shares that the entry owns.
  */
 export function sharesOf(
   directory: Directory,
@@ -140,46 +151,49 @@
 }
 
 /**
- * Gives shares to the entries that rendezvous hashing prefers.
+ * Assigns shares to the entries that rendezvous hashing selects.
  *
- * @param directory - All entries.
- * @param shares - The shares to give.
- * @returns The directory with new owners, each at the next epoch.
+ * @param directory - The directory.
+ * @param shares - Numbers of the shares to assign.
+ * @returns A copy of the directory with the new owners. The epoch of each of
+ *     these shares is incremented.
  */
 export function reassign(
   directory: Directory,
   shares: readonly number[],
 ): Directory {
-  const staying = stayingEntries(directory);
+  const eligible = eligibleOwners(directory);
   const owners = [...directory.shares];
   for (const share of shares) {
     const {epoch} = owners[share]!;
-    owners[share] = {owner: preferredOwner(share, staying), epoch: epoch + 1};
+    owners[share] = {owner: preferredOwner(share, eligible), epoch: epoch + 1};
   }
   return {...directory, shares: owners};
 }
 
 /**
- * The ring in which entries watch each other's leases. Ordered by hash: ids
- * that begin with the name of a data centre would stand side by side, and the
- * loss of a data centre would be noticed only from its edges inwards.
+ * Selects the entries whose leases an entry watches: its successors on a ring
+ * of all entries. The ring is ordered by a hash of the ids. In the order of the
+ * ids themselves, entries whose ids start with the name of their data centre
+ * would be adjacent, and the loss of a whole data centre would be detected only
+ * one entry after the other, from the ends of its range.
  *
- * @param directory - All entries.
- * @param entryId - The watching entry.
- * @param count - How many it watches.
- * @returns The next entries on the ring.
+ * @param directory - The directory.
+ * @param entryId - Id of the watching entry.
+ * @param count - Maximum number of entries to watch.
+ * @returns Ids of the next entries on the ring.
  */
 export function neighbours(
   directory: Directory,
   entryId: string,
   count: number,
 ): readonly string[] {
-  const place = (id: string) => hash32(`ring/${id}`);
+  const position = (id: string) => hash32(`ring/${id}`);
   const ring = Object.keys(directory.entries)
     .filter(id => id !== entryId)
-    .sort((a, b) => place(a) - place(b) || (a < b ? -1 : 1));
-  const own = place(entryId);
-  const next = ring.findIndex(id => place(id) > own);
+    .sort((a, b) => position(a) - position(b) || (a < b ? -1 : 1));
+  const ownPosition = position(entryId);
+  const next = ring.findIndex(id => position(id) > ownPosition);
   const start = Math.max(0, next);
   return [...ring.slice(start), ...ring.slice(0, start)].slice(0, count);
 }
--- a/packages/membership/src/lib/process/directory_view.ts
+++ b/packages/membership/src/lib/process/directory_view.ts
@@ -1,66 +1,71 @@
 /**
- * The directory as this entry last saw it, and its changes: each in one
- * transaction with the leases and shares that it repeats.
+ * A local copy of the directory, and transactions that change the directory
+ * together with the lease and share rows that it duplicates.
  */
 import {sleep} from '@oathead/core';
 import type {CommitOutcome, Row, RowCheck, RowWrite} from '@oathead/stores';
 import {DIRECTORY_KEY, directoryJson, directoryOf} from './directory.js';
 import type {Directory} from './directory.js';
 import {bumpHead, withMembers} from './head_row.js';
-import type {BumpDeps} from './head_row.js';
+import type {BumpHeadDeps} from './head_row.js';
 import {rowJson, shareKey} from './lease_row.js';
 import type {Peer} from './membership.js';
 
-/** What a change of the directory comes to. */
+/** A change of the directory, with the rows that change with it. */
 export interface DirectoryChange {
   readonly directory: Directory;
-  /** Conditions beyond the directory itself. */
+  /** Conditions in addition to the version of the directory. */
   readonly checks?: readonly RowCheck[];
-  /** Writes beyond the directory and the shares whose owner changes. */
+  /** Writes in addition to the directory and to shares that change owner. */
   readonly writes?: readonly RowWrite[];
 }
 
 /**
- * Works out a change against the directory as it is now.
+ * Computes a change from the directory as currently stored. It is called again
+ * for each attempt, so it must not have side effects.
  *
- * @returns Undefined when nothing is left to do.
+ * @returns The change; undefined when there is nothing left to do.
  */
 export type DirectoryPlan = (
   directory: Directory,
 ) => DirectoryChange | undefined;
 
-/** What came of a change: nothing is left to do, or it did not succeed. */
+/**
+ * Result of a change: committed, unnecessary, or failed. After `not-changed`
+ * the change may still have taken effect.
+ */
 export type ChangeResult = 'changed' | 'nothing-to-do' | 'not-changed';
 
 const MAX_ATTEMPTS = 20;
 const FIRST_BACKOFF_MS = 20;
 const MAX_BACKOFF_MS = 1_000;
 
-/** The directory as this entry last saw it. */
+/** The directory as this entry last read or wrote it. */
 export class DirectoryView {
   private directory: Directory;
 
   /**
    * @param deps - Store, clock and randomness.
-   * @param shareCount - Number of shares, for a fleet without a directory yet.
-   * @param onSeen - Called when the directory was seen anew.
+   * @param shareCount - Returns the number of shares, used while no directory
+   *     is stored.
+   * @param onUpdate - Called each time the local copy was replaced.
    */
   constructor(
-    private readonly deps: BumpDeps,
+    private readonly deps: BumpHeadDeps,
     private readonly shareCount: () => number,
-    private readonly onSeen: () => void,
+    private readonly onUpdate: () => void,
   ) {
     this.directory = directoryOf(undefined, shareCount());
   }
 
-  /** The directory as last seen. */
+  /** The directory as last read or written. */
   get current(): Directory {
     return this.directory;
   }
 
   /**
-   * @param entryId - An entry.
-   * @returns What is known of it, if it is a member.
+   * @param entryId - Id of an entry.
+   * @returns The entry; undefined if it is not a member.
    */
   peer(entryId: string): Peer | undefined {
     const entry = this.directory.entries[entryId];
@@ -69,21 +74,26 @@
     return {entryId, address, dataCentre, leaving};
   }
 
-  /** @returns Whether the directory was read. */
+  /**
+   * Reads the directory from the store.
+   *
+   * @returns Whether the read succeeded.
+   */
   async refresh(): Promise<boolean> {
     const read = await this.deps.table.read([DIRECTORY_KEY]);
-    if (read.ok) this.see(directoryOf(read.value[0], this.shareCount()));
+    if (read.ok) this.update(directoryOf(read.value[0], this.shareCount()));
     return read.ok;
   }
 
   /**
-   * Changes the directory, the shares that get another owner, and the head in
-   * one transaction. When another entry was quicker, or it is not known what
-   * became of the transaction, the plan is made anew from what is stored then:
-   * a plan whose change took effect finds nothing left to do.
+   * Changes the directory, the rows of the shares that change owner, and the
+   * head in one transaction. If another entry changed the directory first, or
+   * the outcome of the transaction is unknown, the plan is computed again from
+   * the stored directory, after a backoff with jitter. This is idempotent: a
+   * plan whose change did take effect then has nothing left to do.
    *
-   * @param plan - The change.
-   * @returns What came of it.
+   * @param plan - Computes the change.
+   * @returns Whether the change was committed, unnecessary or failed.
    */
   async change(plan: DirectoryPlan): Promise<ChangeResult> {
     const {clock, random} = this.deps;
@@ -105,17 +115,19 @@
     const before = directoryOf(base, this.shareCount());
     const change = plan(before);
     if (change === undefined) {
-      this.see(before);
+      this.update(before);
       return 'nothing-to-do';
     }
     const outcome = await this.commit(base, before, change);
     if (outcome.kind === 'committed') {
-      this.see(change.directory);
+      this.update(change.directory);
       return 'changed';
     }
-    const overtaken =
+    const directoryConflict =
       outcome.kind === 'conflict' && outcome.key === DIRECTORY_KEY;
-    return overtaken || outcome.kind === 'unknown' ? 'again' : 'not-changed';
+    return directoryConflict || outcome.kind === 'unknown'
+      ? 'again'
+      : 'not-changed';
   }
 
   private commit(
@@ -132,15 +144,16 @@
     return bumpHead(this.deps, commit, withMembers);
   }
 
-  private see(directory: Directory): void {
+  private update(directory: Directory): void {
     this.directory = directory;
-    this.onSeen();
+    this.onUpdate();
   }
 }
 
 /**
- * A share's row is written whenever its owner changes. That changes the row's
- * version, and with it fails every write that the owner before has on its way.
+ * Writes the row of each share whose owner changes. This increments the version
+ * of the row, so that all writes of the previous owner that are still in flight
+ * fail on their version check.
  */
 function shareWrites(before: Directory, after: Directory): RowWrite[] {
   return after.shares.flatMap(({owner, epoch}, share) => {
--- a/packages/membership/src/lib/process/hand_over.ts
+++ b/packages/membership/src/lib/process/hand_over.ts
@@ -1,21 +1,22 @@
-/** Lets work on shares finish before the shares go to another entry. */
+/** Lets work on shares finish before the shares move to another entry. */
 import {sleep} from '@oathead/core';
 import type {Clock} from '@oathead/core';
 import type {HeldShare} from './membership.js';
 
-interface Leaving {
+interface PendingHandOver {
   readonly share: HeldShare;
   finished: boolean;
 }
 
-/** Shares that are on their way out. */
+/** The shares that this entry is handing over. */
 export class HandOver {
-  private readonly leaving = new Map<number, Leaving>();
+  private readonly leaving = new Map<number, PendingHandOver>();
 
   /**
    * @param clock - The clock of this process.
-   * @param handOverMs - How long the work may take, in milliseconds.
-   * @param finish - Finishes the work on one share.
+   * @param handOverMs - Timeout for finishing the work on a share, in
+   *     milliseconds. After it the share counts as finished.
+   * @param finish - Finishes the work on one share; settles when done.
    */
   constructor(
     private readonly clock: Clock,
@@ -24,40 +25,44 @@
   ) {}
 
   /**
-   * Begins to finish the work on a share.
+   * Starts to finish the work on a share.
    *
-   * @param share - The share.
+   * @param share - The share to hand over.
    */
   begin(share: HeldShare): void {
     const leaving = {share, finished: false};
     this.leaving.set(share.share, leaving);
-    const stop = new AbortController();
+    const timeout = new AbortController();
     void Promise.race([
       this.finish(share),
-      sleep(this.clock, this.handOverMs, stop.signal),
+      sleep(this.clock, this.handOverMs, timeout.signal),
     ]).then(() => {
-      stop.abort();
+      timeout.abort();
       leaving.finished = true;
     });
   }
 
   /**
-   * @param share - A share.
-   * @returns Whether its work is being finished, or is.
+   * @param share - A share, with the epoch of this entry's ownership.
+   * @returns Whether its hand-over has begun and was not removed since.
    */
   has({share, epoch}: HeldShare): boolean {
     return this.leaving.get(share)?.share.epoch === epoch;
   }
 
-  /** @returns Shares that have nothing left to be finished. */
+  /** @returns Shares whose work has finished or timed out. */
   ready(): readonly HeldShare[] {
     return [...this.leaving.values()].flatMap(({share, finished}) =>
       finished ? share : [],
     );
   }
 
-  /** @param share - A share that went, or stays after all. */
-  end({share}: HeldShare): void {
+  /**
+   * Forgets a share that was handed over, or that this entry keeps after all.
+   *
+   * @param share - The share.
+   */
+  remove({share}: HeldShare): void {
     this.leaving.delete(share);
   }
 }
--- a/packages/membership/src/lib/process/head_row.ts
+++ b/packages/membership/src/lib/process/head_row.ts
@@ -1,6 +1,8 @@
 /**
- * The row `head`: constant in size, read by every entry once a second whatever
- * happens, and bumped in the same transaction as each change it tells of.
+ * The head: the row `head`, which carries the revisions of everything that
+ * entries need to follow. Every entry reads it once a second, regardless of
+ * load, and its size is bounded. It is updated in the same transaction as each
+ * change that it announces.
  */
 import {sleep} from '@oathead/core';
 import type {Clock, Random} from '@oathead/core';
@@ -15,13 +17,16 @@
 import {z} from 'zod';
 import type {Head} from './membership.js';
 
-/** Key of the head. */
+/** Key of the head row. */
 export const HEAD_KEY = 'head';
 
-/** How many jobs the head remembers; who missed more lists the open jobs. */
+/**
+ * Number of recently changed jobs that the head lists. An entry that missed
+ * more changes than that lists all open jobs instead.
+ */
 export const RECENT_JOBS = 64;
 
-/** The head before anything happened. */
+/** The head of a fleet in which nothing has been stored yet. */
 export const EMPTY_HEAD: Head = {
   cfg: 0,
   jobs: 0,
@@ -44,13 +49,14 @@
 
 /**
  * @param row - The row as read.
- * @returns The head in it; the empty head where there is no row yet.
+ * @returns The head in it; {@link EMPTY_HEAD} if the row does not exist.
+ * @throws If the row does not match the schema.
  */
 export function headOf(row: Row | undefined): Head {
   return row === undefined ? EMPTY_HEAD : headSchema.parse(row.value);
 }
 
-/** How the head is kept in its row, for those who write it themselves. */
+/** Key and codec of the head row, for modules that write it themselves. */
 export const HEAD_ROW = {
   key: HEAD_KEY,
   decode: headOf,
@@ -58,9 +64,9 @@
 } as const;
 
 /**
- * @param head - The head so far.
- * @param job - The job that was accepted, cancelled or closed, `caller/job`.
- * @returns The head that tells of it.
+ * @param head - The current head.
+ * @param job - The job that was accepted, cancelled or closed, as `caller/job`.
+ * @returns The head that announces the change of this job.
  */
 export function withJob(head: Head, job: string): Head {
   const recentJobs = [job, ...head.recentJobs].slice(0, RECENT_JOBS);
@@ -68,40 +74,44 @@
 }
 
 /**
- * @param head - The head so far.
- * @returns The head that tells of a change of members.
+ * @param head - The current head.
+ * @returns The head that announces a change of the directory.
  */
 export function withMembers(head: Head): Head {
   return {...head, members: head.members + 1};
 }
 
 /**
- * @param head - The head so far.
- * @returns The head that tells of a change of what kills targets.
+ * @param head - The current head.
+ * @returns The head that announces a change of the suspects, the records of
+ *     requests that may have crashed targets.
  */
 export function withSuspects(head: Head): Head {
   return {...head, suspects: head.suspects + 1};
 }
 
-/** What {@link bumpHead} works with. */
-export interface BumpDeps {
+/** Dependencies of {@link bumpHead}. */
+export interface BumpHeadDeps {
   readonly table: TableStore;
   readonly clock: Clock;
   readonly random: Random;
 }
 
 /**
- * Commits a change together with a change of the head. The head is the one row
- * that all writers share, so a conflict on it alone is retried here, with
- * backoff and jitter: the commit before it did not take effect and never will.
+ * Commits a change together with a change of the head in one transaction. All
+ * writers share the head row, so conflicts on it are expected and are retried
+ * here, with backoff and jitter. The retry is safe: a transaction that failed
+ * on a conflict did not take effect and cannot do so later.
  *
  * @param deps - Store, clock and randomness.
- * @param commit - The change itself.
- * @param change - What the head is to tell after it.
- * @returns What became of it.
+ * @param commit - The change without the head.
+ * @param change - Computes the new head from the current one. It is called for
+ *     each attempt.
+ * @returns The outcome of the last attempt. It is a conflict on the head only
+ *     after all attempts failed on it.
  */
 export async function bumpHead(
-  deps: BumpDeps,
+  deps: BumpHeadDeps,
   commit: Commit,
   change: (head: Head) => Head,
 ): Promise<CommitOutcome> {
@@ -116,7 +126,7 @@
 }
 
 async function tryBump(
-  deps: BumpDeps,
+  deps: BumpHeadDeps,
   commit: Commit,
   change: (head: Head) => Head,
 ): Promise<CommitOutcome> {
--- a/packages/membership/src/lib/process/lease_keeper.ts
+++ b/packages/membership/src/lib/process/lease_renewer.ts
@@ -1,22 +1,27 @@
-/** Keeps the lease of this entry renewed, and tells when it could not be. */
+/** Renews the lease of this entry, and reports when it expires or ends. */
 import {sleep} from '@oathead/core';
 import type {Clock, Random} from '@oathead/core';
 import type {OwnLease, Renewal} from './own_lease.js';
 
-/** Told what becomes of the lease. */
+/** Receives the changes of the lease's state. */
 export interface LeaseListener {
+  /** Called after each attempt to renew if the lease is valid then. */
   renewed(): void;
-  /** It has run out by this entry's clock; nobody may have taken over yet. */
-  lapsed(): void;
-  /** Another entry ended it. */
+  /**
+   * The lease has expired by this entry's clock. Another entry may or may not
+   * have taken over already.
+   */
+  expired(): void;
+  /** Another entry ended the lease. */
   gone(): void;
 }
 
+/** Width of the random variation of the renewal interval, as a fraction. */
 const JITTER = 0.2;
 const RETRY_MS = 1_000;
 
-/** Keeps the lease of this entry renewed. */
-export class LeaseKeeper implements Disposable {
+/** Renews the lease of this entry periodically. */
+export class LeaseRenewer implements Disposable {
   private readonly stopped = new AbortController();
   private kept = false;
   private leaving = false;
@@ -25,8 +30,8 @@
   /**
    * @param deps - Clock and randomness.
    * @param lease - The lease.
-   * @param renewMs - How often to renew, in milliseconds.
-   * @param listener - Told what becomes of the lease.
+   * @param renewMs - Interval between renewals, in milliseconds.
+   * @param listener - Receives the changes of the lease's state.
    */
   constructor(
     private readonly deps: {readonly clock: Clock; readonly random: Random},
@@ -37,23 +42,26 @@
     void this.loop();
   }
 
-  /** Whether there is a lease to keep. */
-  get keeping(): boolean {
+  /** Whether there is a lease to renew; it may have expired. */
+  get active(): boolean {
     return this.kept;
   }
 
-  /** Keeps the lease that was just created. */
+  /** Starts to renew the lease that was just created. */
   async begin(): Promise<void> {
     this.kept = true;
-    this.take(await this.lease.renew(this.leaving));
+    this.handleRenewal(await this.lease.renew(this.leaving));
   }
 
-  /** Writes from now on that this entry is on its way out. */
-  leave(): void {
+  /** Marks this entry as draining in all further renewals. */
+  announceLeaving(): void {
     this.leaving = true;
   }
 
-  /** Keeps the lease no more: another entry ended it. */
+  /**
+   * Stops renewals after another entry ended the lease, and resets the lease so
+   * that a new one can be created.
+   */
   end(): void {
     this.kept = false;
     this.lease.restart();
@@ -72,29 +80,29 @@
       const renewal = this.kept
         ? await this.lease.renew(this.leaving)
         : 'unsure';
-      this.take(renewal);
+      this.handleRenewal(renewal);
       const pauseMs = renewal === 'kept' ? this.renewMs : RETRY_MS;
       const jitter = 1 + JITTER * (random.float() - 0.5);
       await sleep(clock, pauseMs * jitter, signal);
     }
   }
 
-  private take(renewal: Renewal): void {
+  private handleRenewal(renewal: Renewal): void {
     if (!this.kept || this.stopped.signal.aborted) return;
     if (renewal === 'gone') {
       this.listener.gone();
       return;
     }
     if (this.lease.valid()) this.listener.renewed();
-    this.watchEnd();
+    this.scheduleExpiry();
   }
 
-  private watchEnd(): void {
+  private scheduleExpiry(): void {
     const {clock} = this.deps;
     this.timer?.[Symbol.dispose]();
-    const left = Math.max(0, this.lease.until - clock.now());
-    this.timer = clock.after(left, () => {
-      if (!this.lease.valid()) this.listener.lapsed();
+    const remainingMs = Math.max(0, this.lease.expiresAt - clock.now());
+    this.timer = clock.after(remainingMs, () => {
+      if (!this.lease.valid()) this.listener.expired();
     });
   }
 }
--- a/packages/membership/src/lib/process/lease_row.ts
+++ b/packages/membership/src/lib/process/lease_row.ts
@@ -1,4 +1,4 @@
-/** Rows of leases and shares. */
+/** Keys and codecs of the lease rows and share rows. */
 import type {JsonObject, Row} from '@oathead/stores';
 import {z} from 'zod';
 
@@ -6,12 +6,12 @@
   .object({
     address: z.string(),
     dataCentre: z.string(),
-    /** Counts joins of the fleet: a later lease has a higher epoch. */
+    /** Number of joins in the fleet: a later lease has a higher epoch. */
     epoch: z.number(),
     leaving: z.boolean(),
-    /** Names one start of one process, for good. */
+    /** Unique id of one incarnation of the entry. */
     boot: z.string(),
-    /** Names one write of the row. */
+    /** Unique id of one write of the row. */
     nonce: z.string(),
   })
   .readonly();
@@ -19,7 +19,7 @@
 const shareSchema = z
   .object({
     owner: z.string(),
-    /** Counts owners. */
+    /** Incremented with each change of owner. */
     epoch: z.number(),
   })
   .readonly();
@@ -31,16 +31,17 @@
 export type ShareRow = z.infer<typeof shareSchema>;
 
 /**
- * @param entryId - An entry.
- * @returns Key of its lease.
+ * @param entryId - Id of an entry.
+ * @returns Key of its lease row.
  */
 export function leaseKey(entryId: string): string {
   return `entry/${entryId}`;
 }
 
 /**
- * @param share - A share.
- * @returns Key of the row that names its owner and fences its writes.
+ * @param share - Number of a share.
+ * @returns Key of its row, which names the owner and whose version fences
+ *     writes about the share.
  */
 export function shareKey(share: number): string {
   return `share/${share}`;
@@ -49,6 +50,7 @@
 /**
  * @param row - A row `entry/{id}`.
  * @returns The lease in it.
+ * @throws If the row does not match the schema.
  */
 export function leaseOf(row: Row): LeaseRow {
   return leaseSchema.parse(row.value);
@@ -57,14 +59,15 @@
 /**
  * @param row - A row `share/{n}`.
  * @returns The ownership in it.
+ * @throws If the row does not match the schema.
  */
 export function shareOwnerOf(row: Row): ShareRow {
   return shareSchema.parse(row.value);
 }
 
 /**
- * @param value - A lease or ownership.
- * @returns The same, as a row carries it.
+ * @param value - A lease or an ownership of a share.
+ * @returns The JSON value of its row.
  */
 export function rowJson(value: LeaseRow | ShareRow): JsonObject {
   return {...value};
--- a/packages/membership/src/lib/process/leased_membership.ts
+++ b/packages/membership/src/lib/process/leased_membership.ts
@@ -1,6 +1,6 @@
 /**
- * Membership by leases in the platform's table. The page of this package has
- * the protocol and its arithmetic.
+ * Membership based on leases in the platform's table. The README of this
+ * package describes the protocol and its timing.
  */
 import {DisposableStore, hash32, repeat, sleep} from '@oathead/core';
 import type {Clock, Counters, Random} from '@oathead/core';
@@ -10,7 +10,7 @@
 import {DirectoryView} from './directory_view.js';
 import {HandOver} from './hand_over.js';
 import {EMPTY_HEAD, HEAD_KEY, headOf} from './head_row.js';
-import {LeaseKeeper} from './lease_keeper.js';
+import {LeaseRenewer} from './lease_renewer.js';
 import {leaseKey} from './lease_row.js';
 import {LeaseWatch} from './lease_watch.js';
 import type {Head, HeldShare, Membership, Peer} from './membership.js';
@@ -20,7 +20,7 @@
 import {ShareHoldings} from './share_holdings.js';
 import {SharePlacement} from './share_placement.js';
 
-/** What {@link LeasedMembership} works with. */
+/** Dependencies of {@link LeasedMembership}. */
 export interface MembershipDeps {
   readonly clock: Clock;
   readonly random: Random;
@@ -28,9 +28,10 @@
   readonly table: TableStore;
 }
 
-const LEAVE_STEP_MS = 100;
+/** Interval between attempts to leave the fleet, in milliseconds. */
+const LEAVE_RETRY_MS = 100;
 
-/** Membership by leases in the platform's table. */
+/** Membership based on leases in the platform's table. */
 export class LeasedMembership implements Membership {
   private readonly store = new DisposableStore();
   private readonly headCallbacks = new Callbacks<Head>();
@@ -41,21 +42,21 @@
     Promise<void>
   >();
   private readonly lease: OwnLease;
-  private readonly keeper: LeaseKeeper;
+  private readonly renewer: LeaseRenewer;
   private readonly holdings: ShareHoldings;
   private readonly watch: LeaseWatch;
   private readonly view: DirectoryView;
   private readonly placement: SharePlacement;
 
   private lastHead = EMPTY_HEAD;
-  private knownMembers = -1;
+  private membersRevision = -1;
   private storedShareCount: number | undefined;
   private leaving = false;
   private lastTask: Promise<void> = Promise.resolve();
 
   /**
-   * @param deps - Clock, randomness, counters and store.
-   * @param settings - Settings of this entry.
+   * @param deps - Clock, randomness, counters and table.
+   * @param settings - Settings of this entry's membership.
    */
   constructor(
     private readonly deps: MembershipDeps,
@@ -69,10 +70,10 @@
       taken: share => this.takenCallbacks.call(share),
       lost: share => this.lostCallbacks.call(share),
     });
-    this.keeper = this.store.add(
-      new LeaseKeeper(deps, this.lease, renewMs, {
-        renewed: () => this.holdings.tell({type: 'renew'}),
-        lapsed: () => this.holdings.tell({type: 'lapse'}),
+    this.renewer = this.store.add(
+      new LeaseRenewer(deps, this.lease, renewMs, {
+        renewed: () => this.holdings.apply({type: 'renew'}),
+        expired: () => this.holdings.apply({type: 'lapse'}),
         gone: () => this.restart(),
       }),
     );
@@ -99,14 +100,17 @@
     return this.settings.entryId;
   }
 
-  /** As configured until the stored count was read; no share is held before. */
+  /**
+   * The configured number until the stored one has been read. No share is held
+   * before that.
+   */
   get shareCount(): number {
     return this.storedShareCount ?? this.settings.shareCount;
   }
 
-  /** Whether this entry is a member, and its lease valid. */
+  /** Whether this entry is a member and its lease is valid. */
   get ready(): boolean {
-    return this.keeper.keeping && this.lease.valid();
+    return this.renewer.active && this.lease.valid();
   }
 
   shareOf(key: string): number {
@@ -135,20 +139,20 @@
     return this.lastHead;
   }
 
-  /** Calls back after each read of the head, also when it has not changed. */
+  /** Called after each read of the head, even if the head is unchanged. */
   onHead(callback: (head: Head) => void): Disposable {
     return this.headCallbacks.add(callback);
   }
 
-  /** Calls back again for a share that was lost and has come back. */
+  /** Called again for a share that was lost and regained. */
   onTaken(callback: (share: HeldShare) => void): Disposable {
     return this.takenCallbacks.add(callback);
   }
 
   /**
-   * Calls back when the lease runs out by this entry's clock, and again should
-   * the share be found to be another's. A share that nobody took comes back by
-   * {@link onTaken} with the same epoch.
+   * Called when the lease expires by this entry's clock, and again if another
+   * entry turns out to own the share. A share that no other entry took over is
+   * reported through {@link onTaken} again, with the same epoch.
    */
   onLost(callback: (share: HeldShare) => void): Disposable {
     return this.lostCallbacks.add(callback);
@@ -158,44 +162,53 @@
     return this.handOverCallbacks.add(callback);
   }
 
-  /** Joins as soon as the store can be reached, and keeps the lease. */
+  /**
+   * Starts to poll the head. Joins the fleet once the store is reachable, and
+   * renews the lease from then on.
+   */
   start(): void {
-    const poll = () => this.inTurn(() => this.poll());
+    const poll = () => this.runSerially(() => this.poll());
     void poll();
     this.store.add(repeat(this.deps.clock, this.settings.headPollMs, poll));
   }
 
   /**
-   * Hands all shares over and leaves. Where that cannot be done in time, the
-   * lease runs out by itself.
+   * Hands over all shares and leaves the fleet. If the timeout passes first,
+   * the remaining shares are taken over after the lease has expired.
    *
-   * @param timeoutMs - At most so long, in milliseconds.
+   * @param timeoutMs - Maximum duration, in milliseconds.
    */
   async stop(timeoutMs: number): Promise<void> {
     const {clock} = this.deps;
     const deadline = clock.now() + timeoutMs;
     this.leaving = true;
-    this.keeper.leave();
+    this.renewer.announceLeaving();
     let left = false;
     while (!left && clock.now() < deadline) {
       await Promise.race([
-        this.inTurn(async () => {
+        this.runSerially(async () => {
           left = await this.leave();
         }),
         sleep(clock, deadline - clock.now()),
       ]);
-      if (!left) await sleep(clock, LEAVE_STEP_MS);
+      if (!left) await sleep(clock, LEAVE_RETRY_MS);
     }
     this[Symbol.dispose]();
   }
 
-  /** Stops at once, as a process that dies would; the lease runs out. */
+  /**
+   * Stops immediately without leaving the fleet, like a crash. The lease then
+   * expires.
+   */
   [Symbol.dispose](): void {
     this.store[Symbol.dispose]();
   }
 
-  /** One at a time, so that no older read of rows overtakes a newer one. */
-  private inTurn(task: () => Promise<void>): Promise<void> {
+  /**
+   * Runs tasks one at a time, in order, so that the result of an older read
+   * cannot replace the result of a newer one.
+   */
+  private runSerially(task: () => Promise<void>): Promise<void> {
     this.lastTask = this.lastTask.then(async () => {
       if (!this.store.disposed) await task();
     });
@@ -204,7 +217,7 @@
 
   private async poll(): Promise<void> {
     const {clock, table, counters} = this.deps;
-    const watched = this.watch.due(clock.now()) ? this.watched() : [];
+    const watched = this.watch.due(clock.now()) ? this.watchedEntries() : [];
     const read = await table.read([HEAD_KEY, ...watched.map(leaseKey)]);
     if (!read.ok) {
       counters.count('membership_polls_failed');
@@ -215,20 +228,20 @@
     if (watched.length > 0) this.watch.observe(watched, leases, clock.now());
     this.lastHead = headOf(head);
     this.headCallbacks.call(this.lastHead);
-    if (await this.learnShareCount()) await this.settle();
+    if (await this.loadShareCount()) await this.reconcile();
   }
 
-  private async settle(): Promise<void> {
-    if (!this.keeper.keeping && !this.leaving) await this.join();
+  private async reconcile(): Promise<void> {
+    if (!this.renewer.active && !this.leaving) await this.join();
     await this.refresh();
-    await this.takeOverLapsed();
-    if (!this.keeper.keeping) return;
+    await this.takeOverExpired();
+    if (!this.renewer.active) return;
     await this.placement.assignOrphans();
     await this.placement.adoptGranted();
     await this.placement.handOverMisplaced();
   }
 
-  private async learnShareCount(): Promise<boolean> {
+  private async loadShareCount(): Promise<boolean> {
     const {deps, settings} = this;
     this.storedShareCount ??= await readShareCount(deps, settings.shareCount);
     return this.storedShareCount !== undefined;
@@ -238,20 +251,23 @@
     const {address, dataCentre} = this.settings;
     const {boot} = this.lease;
     const entry = {address, dataCentre, leaving: false, boot};
-    if (await this.placement.join(entry)) await this.keeper.begin();
+    if (await this.placement.join(entry)) await this.renewer.begin();
   }
 
   private async refresh(): Promise<void> {
     const {members} = this.lastHead;
-    if (members === this.knownMembers) return;
-    if (await this.view.refresh()) this.knownMembers = members;
+    if (members === this.membersRevision) return;
+    if (await this.view.refresh()) this.membersRevision = members;
   }
 
-  /** Gives up what the directory says is not this entry's. */
+  /**
+   * Revokes the shares that this entry does not own according to the directory.
+   * Restarts if the directory no longer lists this incarnation.
+   */
   private checkHoldings(): void {
     const {entries, shares} = this.view.current;
-    const mine = entries[this.entryId]?.boot === this.lease.boot;
-    if (this.keeper.keeping && !mine) this.restart();
+    const listed = entries[this.entryId]?.boot === this.lease.boot;
+    if (this.renewer.active && !listed) this.restart();
     for (const {share, epoch} of this.holdings.all()) {
       const now = shares[share];
       const kept = now?.owner === this.entryId && now.epoch === epoch;
@@ -259,37 +275,45 @@
     }
   }
 
-  /** Another entry has ended this entry's lease: it begins anew. */
+  /**
+   * Drops the lease and all shares after another entry ended the lease. The
+   * next poll joins the fleet again, unless this entry is stopping.
+   */
   private restart(): void {
     if (!this.leaving) this.deps.counters.count('membership_lease_lost');
-    this.keeper.end();
+    this.renewer.end();
     for (const {share} of this.holdings.all()) this.holdings.revoke(share);
   }
 
-  private watched(): readonly string[] {
+  private watchedEntries(): readonly string[] {
     const {current} = this.view;
-    if (this.keeper.keeping) {
+    if (this.renewer.active) {
       return neighbours(current, this.entryId, this.settings.neighbours);
     }
-    const earlier = current.entries[this.entryId];
-    return earlier === undefined ? [] : [this.entryId];
+    const previous = current.entries[this.entryId];
+    return previous === undefined ? [] : [this.entryId];
   }
 
   /**
-   * While reads go on and writes fail, nobody can renew: every lease looks
-   * lapsed. An entry that cannot renew its own lease does not judge others.
+   * Takes over from entries whose leases have expired. While reads succeed and
+   * writes fail, no entry can renew and every lease appears to be expired. So
+   * an entry whose own lease has expired discards its observations of others.
    */
-  private async takeOverLapsed(): Promise<void> {
-    if (this.keeper.keeping && !this.lease.valid()) this.watch.reset();
-    for (const lapsed of this.watch.lapsed(this.deps.clock.now())) {
-      await this.placement.takeOver(lapsed);
+  private async takeOverExpired(): Promise<void> {
+    if (this.renewer.active && !this.lease.valid()) this.watch.reset();
+    for (const expired of this.watch.expired(this.deps.clock.now())) {
+      await this.placement.takeOver(expired);
     }
   }
 
-  /** @returns Whether nothing of this entry is left. */
+  /**
+   * Makes one attempt to hand over all shares and to leave the fleet.
+   *
+   * @returns Whether this entry has left the fleet.
+   */
   private async leave(): Promise<boolean> {
-    const {placement, keeper} = this;
-    if (!keeper.keeping) return true;
+    const {placement, renewer: keeper} = this;
+    if (!keeper.active) return true;
     const entry = this.view.current.entries[this.entryId];
     if (!entry?.leaving) await placement.declareLeaving();
     await placement.adoptGranted();
--- a/packages/membership/src/lib/process/own_lease.ts
+++ b/packages/membership/src/lib/process/own_lease.ts
@@ -1,26 +1,31 @@
 /**
- * The lease of this entry: its row, and its end as this process's own clock
- * sees it. It counts from before the write that renewed it was sent, so it ends
- * here before an observer may take over, however late the answer came.
+ * The lease of this entry: its row, and its expiry by this process's own clock.
+ * The lease period starts before the renewing write is sent. So the lease
+ * expires here before any observer may take over, no matter how late the
+ * response to the write arrives.
  */
 import type {RowWrite} from '@oathead/stores';
-import type {BumpDeps} from './head_row.js';
+import type {BumpHeadDeps} from './head_row.js';
 import {leaseKey, leaseOf, rowJson} from './lease_row.js';
 import type {MembershipSettings} from './membership_settings.js';
 
-/** What came of an attempt to renew. */
+/** Result of an attempt to renew the lease. */
 export type Renewal =
   | 'kept'
-  /** The store gave no answer. */
+  /** It is not known that the lease is valid; retry. */
   | 'unsure'
   /** Another entry ended the lease. */
   | 'gone';
 
-const MAX_UNANSWERED = 16;
+/** Number of latest writes whose sending times are kept. */
+const MAX_UNCONFIRMED_WRITES = 16;
 
-/** The lease of this entry. */
+/** The lease that this entry holds. */
 export class OwnLease {
-  /** When the writes were sent whose fate may still be learnt, by nonce. */
+  /**
+   * Sending times of the latest writes, by nonce, in milliseconds. The response
+   * to a write may be lost and its outcome be found by a later read.
+   */
   private readonly sentAt = new Map<string, number>();
   private currentBoot: string;
   private epoch = 0;
@@ -29,22 +34,25 @@
 
   /**
    * @param deps - Store, clock and randomness.
-   * @param settings - Settings of this entry.
+   * @param settings - Settings of this entry's membership.
    */
   constructor(
-    private readonly deps: BumpDeps,
+    private readonly deps: BumpHeadDeps,
     private readonly settings: MembershipSettings,
   ) {
     this.currentBoot = deps.random.id();
   }
 
-  /** Names this tenure: another process of the same id has another. */
+  /**
+   * Unique id of this incarnation of the entry. Another process with the same
+   * entry id has a different one.
+   */
   get boot(): string {
     return this.currentBoot;
   }
 
-  /** When the lease ends by this process's clock, in milliseconds. */
-  get until(): number {
+  /** When the lease expires, in milliseconds on this process's clock. */
+  get expiresAt(): number {
     return this.validUntil;
   }
 
@@ -53,7 +61,7 @@
     return this.deps.clock.now() < this.validUntil;
   }
 
-  /** Begins a new tenure: the one before was ended by another entry. */
+  /** Starts a new incarnation after another entry ended the lease. */
   restart(): void {
     this.sentAt.clear();
     this.currentBoot = this.deps.random.id();
@@ -63,24 +71,25 @@
 
   /**
    * @param epoch - Epoch of the new lease.
-   * @returns The write that creates it.
+   * @returns The write that creates the lease row.
    */
   create(epoch: number): RowWrite {
     this.epoch = epoch;
-    return this.write(this.send(), false);
+    return this.write(this.registerWrite(), false);
   }
 
   /**
-   * Renews the lease, conditional on its row being the one last written here:
-   * a holder that was paused while another took over fails this write.
+   * Renews the lease, on condition that its row still has the version last
+   * written here. The write fails if this process was paused and another entry
+   * took over in the meantime.
    *
-   * @param leaving - Whether this entry is on its way out.
-   * @returns What came of it.
+   * @param leaving - Whether this entry is draining.
+   * @returns Whether the lease is valid, was ended or is in an unknown state.
    */
   async renew(leaving: boolean): Promise<Renewal> {
     const {version, boot} = this;
     if (version === 0) return this.readBack();
-    const nonce = this.send();
+    const nonce = this.registerWrite();
     const key = leaseKey(this.settings.entryId);
     const outcome = await this.deps.table.write({
       checks: [{key, version}],
@@ -98,8 +107,9 @@
   }
 
   /**
-   * After a lost answer, or a conflict: the row's boot tells whether the write
-   * that stands in it is this process's, and its nonce which of them.
+   * Determines the state of the lease after a lost response or a conflict. The
+   * boot id in the row shows whether this incarnation wrote the row, and the
+   * nonce shows which of its writes took effect.
    */
   private async readBack(): Promise<Renewal> {
     const {boot} = this;
@@ -119,10 +129,10 @@
     this.validUntil = Math.max(this.validUntil, sentAt + this.settings.leaseMs);
   }
 
-  private send(): string {
+  private registerWrite(): string {
     const nonce = this.deps.random.id();
     this.sentAt.set(nonce, this.deps.clock.now());
-    if (this.sentAt.size > MAX_UNANSWERED) {
+    if (this.sentAt.size > MAX_UNCONFIRMED_WRITES) {
       const [oldest] = this.sentAt.keys();
       this.sentAt.delete(oldest!);
     }
--- a/packages/membership/src/lib/process/share_count.ts
+++ b/packages/membership/src/lib/process/share_count.ts
@@ -1,4 +1,7 @@
-/** The number of shares: fixed when the fleet first starts. */
+/**
+ * The number of shares, which is fixed when the fleet starts for the first
+ * time.
+ */
 import type {Random} from '@oathead/core';
 import type {TableStore} from '@oathead/stores';
 import {z} from 'zod';
@@ -9,12 +12,14 @@
 const countSchema = z.object({count: z.number().int().positive()});
 
 /**
- * Reads the number of shares, and fixes it where the fleet starts for the first
- * time. A fleet that disagreed on it would place one chunk in two shares.
+ * Reads the number of shares, or stores it if the fleet starts for the first
+ * time. If entries used different numbers, they would map the same chunk to
+ * different shares, and two owners would process it.
  *
- * @param deps - Store and randomness.
- * @param configured - The count to fix.
- * @returns The count for good; undefined while the store gives no answer.
+ * @param deps - Table and randomness.
+ * @param configured - The number to store if there is none.
+ * @returns The stored number, which never changes; undefined if it could not be
+ *     read or stored, in which case the caller retries.
  */
 export async function readShareCount(
   {table, random}: {readonly table: TableStore; readonly random: Random},
--- a/packages/membership/src/lib/process/share_holdings.ts
+++ b/packages/membership/src/lib/process/share_holdings.ts
@@ -1,4 +1,7 @@
-/** The shares of this entry: state, epoch, and the row version that fences. */
+/**
+ * The shares of this entry, each with its state, its epoch and the version of
+ * its row, which fences writes.
+ */
 import {nextShareLeaseState} from '@oathead/core';
 import type {ShareLeaseEvent, ShareLeaseState} from '@oathead/core';
 import type {RowCheck} from '@oathead/stores';
@@ -11,46 +14,53 @@
   readonly version: number;
 }
 
-/** Called when a share comes or goes. */
+/** Notified when this entry acquires or loses a share. */
 export interface HoldingsListener {
   taken(share: HeldShare): void;
   lost(share: HeldShare): void;
 }
 
-const MAY_RECORD: ReadonlySet<ShareLeaseState> = new Set([
+/** States of a share in which this entry may write about it. */
+const WRITABLE_STATES: ReadonlySet<ShareLeaseState> = new Set([
   'held',
   'handingOver',
 ]);
 
-/** The shares of this entry. */
+/** The shares that this entry owns, or owned according to its last read. */
 export class ShareHoldings {
   private readonly holdings = new Map<number, Holding>();
 
-  /** @param listener - Told of each share that comes or goes. */
+  /** @param listener - Notified of each share acquired or lost. */
   constructor(private readonly listener: HoldingsListener) {}
 
-  /** @returns Shares that allow new work. */
+  /** @returns Shares on which new work may start. */
   held(): readonly HeldShare[] {
     return this.shares(state => state === 'held');
   }
 
-  /** @returns All shares that this entry owns, or owned when it last knew. */
+  /**
+   * @returns All shares in any state, including those that are suspended or
+   *     being handed over.
+   */
   all(): readonly HeldShare[] {
     return this.shares(() => true);
   }
 
   /**
-   * @param share - A share.
-   * @returns The condition for a write about it, if it may be written about.
+   * @param share - Number of a share.
+   * @returns The condition for writes about the share; undefined if this entry
+   *     may not write about it.
    */
   fence(share: number): RowCheck | undefined {
     const holding = this.holdings.get(share);
-    if (holding === undefined || !MAY_RECORD.has(holding.state)) return;
+    if (holding === undefined || !WRITABLE_STATES.has(holding.state)) return;
     return {key: shareKey(share), version: holding.version};
   }
 
   /**
-   * @param share - A share that the stored rows give to this entry.
+   * Adds a share.
+   *
+   * @param share - A share that this entry owns according to the stored rows.
    * @param version - Version of its row.
    */
   grant(share: HeldShare, version: number): void {
@@ -61,7 +71,9 @@
   }
 
   /**
-   * @param share - A share that is not this entry's any more.
+   * Removes a share; no effect if it is not here.
+   *
+   * @param share - Number of a share that this entry no longer owns.
    */
   revoke(share: number): void {
     const holding = this.holdings.get(share);
@@ -71,27 +83,27 @@
   }
 
   /**
-   * Tells all shares, or some, what happened.
+   * Applies an event to the states of all or some shares.
    *
-   * @param event - What happened.
-   * @param shares - To which shares; all by default.
+   * @param event - The event.
+   * @param shares - Numbers of the shares; all by default.
    */
-  tell(
+  apply(
     event: Exclude<ShareLeaseEvent, {type: 'grant' | 'revoke'}>,
     shares: readonly number[] = [...this.holdings.keys()],
   ): void {
-    for (const share of shares) this.step(share, event);
+    for (const share of shares) this.transition(share, event);
   }
 
-  private step(share: number, event: ShareLeaseEvent): void {
+  private transition(share: number, event: ShareLeaseEvent): void {
     const holding = this.holdings.get(share);
     if (holding === undefined) return;
     const state = nextShareLeaseState(holding.state, event);
     if (state === holding.state) return;
     this.holdings.set(share, {...holding, state});
-    const told = {share, epoch: holding.epoch};
-    if (state === 'suspended') this.listener.lost(told);
-    if (state === 'held') this.listener.taken(told);
+    const heldShare = {share, epoch: holding.epoch};
+    if (state === 'suspended') this.listener.lost(heldShare);
+    if (state === 'held') this.listener.taken(heldShare);
   }
 
   private shares(
--- a/packages/membership/src/lib/process/share_placement.ts
+++ b/packages/membership/src/lib/process/share_placement.ts
@@ -1,7 +1,8 @@
 /**
- * Brings the shares to where they belong: from dead entries, to new ones, and
- * away from one that leaves. All of it is decided from the directory, so every
- * entry comes to the same conclusion, and done by whom it concerns.
+ * Moves shares to their preferred owners: away from dead or draining entries,
+ * and to new ones. Every decision is a function of the directory, so all
+ * entries reach the same decision, and the entry that it concerns carries it
+ * out.
  */
 import type {Counters} from '@oathead/core';
 import type {Row, TableStore} from '@oathead/stores';
@@ -10,7 +11,7 @@
   preferredOwner,
   reassign,
   sharesOf,
-  stayingEntries,
+  eligibleOwners,
   withEntry,
   withoutEntry,
 } from './directory.js';
@@ -18,12 +19,12 @@
 import type {ChangeResult, DirectoryView} from './directory_view.js';
 import type {HandOver} from './hand_over.js';
 import {leaseKey, shareKey, shareOwnerOf} from './lease_row.js';
-import type {LapsedLease} from './lease_watch.js';
+import type {ExpiredLease} from './lease_watch.js';
 import type {HeldShare} from './membership.js';
 import type {OwnLease} from './own_lease.js';
 import type {ShareHoldings} from './share_holdings.js';
 
-/** What {@link SharePlacement} works with. */
+/** Dependencies of {@link SharePlacement}. */
 export interface PlacementDeps {
   readonly entryId: string;
   readonly table: TableStore;
@@ -34,24 +35,27 @@
   readonly handOver: HandOver;
 }
 
-/** Shares written in one transaction, so that it keeps a bounded size. */
+/** Maximum number of shares per transaction, to bound its size. */
 const SHARES_PER_WRITE = 64;
 
-/** Stands for all shares that nobody owns when one entry is to be chosen. */
-const ORPHANS = -1;
+/**
+ * Pseudo share number. Its preferred owner is the entry that assigns the shares
+ * without an owner.
+ */
+const ORPHAN_ASSIGNMENT = -1;
 
-/** Brings the shares to where they belong. */
+/** Moves shares between entries through changes of the directory. */
 export class SharePlacement {
-  /** @param deps - The parts of this entry's membership. */
+  /** @param deps - The components of this entry's membership. */
   constructor(private readonly deps: PlacementDeps) {}
 
   /**
-   * Takes this entry into the fleet. Where an earlier process of the same id
-   * still stands in the directory, its lease has to run out first, as for any
-   * other.
+   * Adds this entry to the fleet. If the directory still lists an earlier
+   * incarnation with the same id, its lease has to expire first, as with any
+   * other entry.
    *
-   * @param entry - What the others are told of it.
-   * @returns Whether it is in.
+   * @param entry - The record of this entry in the directory.
+   * @returns Whether this incarnation is a member.
    */
   async join(entry: DirectoryEntry): Promise<boolean> {
     const {view, lease, entryId} = this.deps;
@@ -68,19 +72,19 @@
   }
 
   /**
-   * Ends the lease of a dead entry, and gives its shares to others. The
-   * transaction is conditional on the lease's row: a renewal that arrives first
-   * fails it, one that arrives later fails itself.
+   * Ends the lease of a dead entry and reassigns its shares. The transaction is
+   * conditional on the version of the lease row: if a renewal arrives first,
+   * the transaction fails; if it arrives later, the renewal fails.
    *
-   * @param lapsed - The lease, and its version that has not changed.
+   * @param lease - The expired lease, with the version that stayed unchanged.
    */
-  async takeOver({entryId, version}: LapsedLease): Promise<void> {
+  async takeOver({entryId, version}: ExpiredLease): Promise<void> {
     const result = await this.deps.view.change(directory => {
       if (directory.entries[entryId] === undefined) return undefined;
       const shares = sharesOf(directory, entryId);
-      const rest = withoutEntry(directory, entryId);
+      const remaining = withoutEntry(directory, entryId);
       return {
-        directory: reassign(rest, shares.slice(0, SHARES_PER_WRITE)),
+        directory: reassign(remaining, shares.slice(0, SHARES_PER_WRITE)),
         checks: [{key: leaseKey(entryId), version}],
         writes: [{kind: 'delete', key: leaseKey(entryId)}],
       };
@@ -89,15 +93,15 @@
   }
 
   /**
-   * Gives away what nobody owns: all shares of a new fleet, and those of a dead
-   * entry beyond what one transaction holds. One entry alone does so, since all
-   * at once would only conflict.
+   * Assigns the shares that have no owner: all shares of a new fleet, and those
+   * shares of a dead entry that exceeded the limit of one transaction. Only one
+   * entry does this, since concurrent attempts would conflict.
    */
   async assignOrphans(): Promise<void> {
     const {view, entryId} = this.deps;
     if (orphanShares(view.current).length === 0) return;
-    const staying = stayingEntries(view.current);
-    if (preferredOwner(ORPHANS, staying) !== entryId) return;
+    const eligible = eligibleOwners(view.current);
+    if (preferredOwner(ORPHAN_ASSIGNMENT, eligible) !== entryId) return;
     await view.change(directory => {
       const orphans = orphanShares(directory).slice(0, SHARES_PER_WRITE);
       if (orphans.length === 0) return undefined;
@@ -105,7 +109,10 @@
     });
   }
 
-  /** Begins to act on shares that the directory gives to this entry. */
+  /**
+   * Acquires the shares that the directory assigns to this entry. Reads their
+   * rows for the versions that fence writes.
+   */
   async adoptGranted(): Promise<void> {
     const {view, lease, holdings, table, entryId} = this.deps;
     if (!lease.valid()) return;
@@ -119,26 +126,34 @@
     }
   }
 
-  /** Hands over what other entries are to own, once its work is finished. */
+  /**
+   * Hands over the shares whose preferred owner is another entry, once the work
+   * on them has finished.
+   */
   async handOverMisplaced(): Promise<void> {
     const {view, holdings, handOver} = this.deps;
-    const staying = stayingEntries(view.current);
+    const eligible = eligibleOwners(view.current);
     for (const held of holdings.held()) {
-      if (!this.isMisplaced(held.share, staying)) continue;
+      if (!this.isMisplaced(held.share, eligible)) continue;
       if (handOver.has(held)) continue;
-      holdings.tell({type: 'handOver'}, [held.share]);
+      holdings.apply({type: 'handOver'}, [held.share]);
       handOver.begin(held);
     }
     const ready = handOver.ready();
     if (ready.length === 0) return;
-    await view.change(directory => this.givingAway(directory, ready));
+    await view.change(directory => this.planHandOver(directory, ready));
     for (const share of ready) {
-      handOver.end(share);
-      holdings.tell({type: 'keep'}, [share.share]);
+      handOver.remove(share);
+      holdings.apply({type: 'keep'}, [share.share]);
     }
   }
 
-  /** Tells the others that this entry is on its way out. */
+  /**
+   * Marks this entry as draining in the directory, so that it gets no further
+   * shares.
+   *
+   * @returns The result of the change of the directory.
+   */
   async declareLeaving(): Promise<ChangeResult> {
     const {view, entryId} = this.deps;
     return view.change(directory => {
@@ -150,9 +165,9 @@
   }
 
   /**
-   * Takes this entry out of the fleet, once it owns nothing.
+   * Removes this entry from the fleet if it owns no shares.
    *
-   * @returns Whether it is out.
+   * @returns Whether it is no longer a member.
    */
   async leave(): Promise<boolean> {
     const {view, lease, entryId} = this.deps;
@@ -176,20 +191,20 @@
     holdings.grant({share, epoch}, row.version);
   }
 
-  private givingAway(directory: Directory, ready: readonly HeldShare[]) {
+  private planHandOver(directory: Directory, ready: readonly HeldShare[]) {
     const {entryId} = this.deps;
-    const staying = stayingEntries(directory);
-    const going = ready.filter(({share, epoch}) => {
+    const eligible = eligibleOwners(directory);
+    const misplaced = ready.filter(({share, epoch}) => {
       const now = directory.shares[share]!;
-      const mine = now.owner === entryId && now.epoch === epoch;
-      return mine && this.isMisplaced(share, staying);
+      const owned = now.owner === entryId && now.epoch === epoch;
+      return owned && this.isMisplaced(share, eligible);
     });
-    if (going.length === 0) return undefined;
-    const some = going.slice(0, SHARES_PER_WRITE).map(({share}) => share);
-    return {directory: reassign(directory, some)};
+    if (misplaced.length === 0) return undefined;
+    const batch = misplaced.slice(0, SHARES_PER_WRITE).map(({share}) => share);
+    return {directory: reassign(directory, batch)};
   }
 
-  private isMisplaced(share: number, staying: readonly string[]): boolean {
-    return preferredOwner(share, staying) !== this.deps.entryId;
+  private isMisplaced(share: number, eligible: readonly string[]): boolean {
+    return preferredOwner(share, eligible) !== this.deps.entryId;
   }
 }
--- a/packages/membership/src/test/fakes/fake_host.ts
+++ b/packages/membership/src/test/fakes/fake_host.ts
@@ -1,14 +1,14 @@
-/** Hosts that can be paused and lost, as the processes on them notice it. */
+/** Simulated hosts that can be paused, resumed and killed. */
 import type {Clock} from '@oathead/core';
 import type {ListOptions, Platform, Transaction} from '@oathead/stores';
 import type {ObjectStore, TableStore} from '@oathead/stores';
 
 /**
- * What a process sees of the world: while its host is paused, time goes on and
- * answers arrive, but it notices nothing until it wakes.
+ * A host with one process. While the host is paused, time passes and responses
+ * arrive, but timers and responses reach the process only after the resume.
  */
 export class FakeHost {
-  /** The clock of the process. */
+  /** The clock of the process; its timers fire only while the host runs. */
   readonly clock: Clock;
   private paused = false;
   private dead = false;
@@ -23,7 +23,7 @@
         const fire = () => {
           if (!cancelled) callback();
         };
-        const timer = world.after(delayMs, () => this.enter(fire));
+        const timer = world.after(delayMs, () => this.runWhenResumed(fire));
         const cancel = () => {
           cancelled = true;
           timer[Symbol.dispose]();
@@ -49,21 +49,27 @@
     this.waiting = [];
   }
 
-  /** Lets an answer in once the process runs. */
-  async hear<T>(answer: Promise<T>): Promise<T> {
-    const value = await answer;
-    await new Promise<void>(resolve => this.enter(resolve));
+  /**
+   * Delivers a response to the process.
+   *
+   * @param response - The response of a store.
+   * @returns The response once the host is not paused; never settles if the
+   *     host was killed.
+   */
+  async hear<T>(response: Promise<T>): Promise<T> {
+    const value = await response;
+    await new Promise<void>(resolve => this.runWhenResumed(resolve));
     return value;
   }
 
-  private enter(callback: () => void): void {
+  private runWhenResumed(callback: () => void): void {
     if (this.dead) return;
     if (this.paused) this.waiting.push(callback);
     else callback();
   }
 }
 
-/** The table as the process on a host sees it. */
+/** @returns The table, with responses delivered through a host. */
 export function tableAt(host: FakeHost, {table}: Platform): TableStore {
   return {
     read: (keys: readonly string[]) => host.hear(table.read(keys)),
@@ -73,7 +79,7 @@
   };
 }
 
-/** The object store as the process on a host sees it. */
+/** @returns The object store, with responses delivered through a host. */
 export function objectsAt(host: FakeHost, {objects}: Platform): ObjectStore {
   return {
     put: (key: string, bytes: Uint8Array) => host.hear(objects.put(key, bytes)),
--- a/packages/membership/src/test/fakes/fake_members.ts
+++ b/packages/membership/src/test/fakes/fake_members.ts
@@ -1,4 +1,4 @@
-/** Entries over one platform, in virtual time. */
+/** Entries that share one in-memory platform, in virtual time. */
 import {hash32, seededRandom} from '@oathead/core';
 import type {Counters, Labels} from '@oathead/core';
 import {MemoryPlatform} from '@oathead/stores';
@@ -12,7 +12,7 @@
 const LATENCY_MS = 2;
 const STEP_MS = 250;
 
-/** Counters that can be read. */
+/** Counters whose sums can be read, without regard to labels. */
 export class CountedEvents implements Counters {
   private readonly counts = new Map<string, number>();
 
@@ -25,20 +25,20 @@
   }
 }
 
-/** One entry. */
+/** One simulated entry process and its host. */
 export interface FakeMember {
   readonly host: FakeHost;
-  /** Faults of this entry's way to the stores alone. */
+  /** Faults of the connection between this entry and the stores. */
   readonly faults: StoreFaults;
   readonly table: TableStore;
   readonly objects: ObjectStore;
   readonly members: LeasedMembership;
 }
 
-/** Entries over one platform. */
+/** A fleet of entries that share one platform. */
 export class FakeMembers {
   readonly clock = new VirtualClock();
-  /** Faults of the stores, for all. */
+  /** Faults of the stores that affect all entries. */
   readonly faults = new StoreFaults(this.clock);
   readonly counters = new CountedEvents();
   private starts = 0;
@@ -50,16 +50,16 @@
   ) {}
 
   start(id: string, settings: Partial<MembershipSettings> = {}): FakeMember {
-    const process = `${this.seed}/${id}/${this.starts++}`;
+    const processId = `${this.seed}/${id}/${this.starts++}`;
     const host = new FakeHost(this.clock);
     const faults = new StoreFaults(this.clock);
     faults.add({fault: {kind: 'slow', delayMs: LATENCY_MS}});
     const shared = faultyPlatform(this.platform, this.faults);
-    const seen = faultyPlatform(shared, faults);
-    const table = tableAt(host, seen);
+    const entryPlatform = faultyPlatform(shared, faults);
+    const table = tableAt(host, entryPlatform);
     const deps = {
       clock: host.clock,
-      random: seededRandom(hash32(process)),
+      random: seededRandom(hash32(processId)),
       counters: this.counters,
       table,
     };
@@ -72,10 +72,23 @@
       dataCentre: 'hall-a',
     });
     members.start();
-    return {host, faults, table, objects: objectsAt(host, seen), members};
+    return {
+      host,
+      faults,
+      table,
+      objects: objectsAt(host, entryPlatform),
+      members,
+    };
   }
 
-  /** Lets time pass until something holds; says whether it came to hold. */
+  /**
+   * Advances the clock until a condition holds.
+   *
+   * @param holds - The condition.
+   * @param limitMs - Maximum virtual time to wait, in milliseconds.
+   * @param stepMs - Virtual time between two checks, in milliseconds.
+   * @returns Whether the condition holds at the end.
+   */
   async until(
     holds: () => boolean | Promise<boolean>,
     limitMs: number,
--- a/packages/membership/src/test/fakes/lossy_answers.ts
+++ b/packages/membership/src/test/fakes/lossy_answers.ts
@@ -1,15 +1,17 @@
-/** A way to the stores that loses answers. */
+/** Faults that lose the responses of the stores. */
 import {hash32, seededRandom} from '@oathead/core';
 import type {StoreCall, StoreFaults} from '@oathead/stand-ins';
 
-const LATE_MS = 1_500;
+/** Delay until a late write takes effect, in milliseconds. */
+const LATE_WRITE_DELAY_MS = 1_500;
 
 /**
- * Loses answers to writes at random.
+ * Loses the responses to random writes.
  *
- * @param faults - The way to the stores.
- * @param lost - Share of writes that take effect unheard of.
- * @param late - Share of writes that take effect only later, unheard of.
+ * @param faults - The faults to add to.
+ * @param lost - Fraction of writes that take effect and whose response is lost.
+ * @param late - Fraction of writes that take effect after a delay and whose
+ *     response is lost.
  */
 export function loseAnswers(
   faults: StoreFaults,
@@ -17,11 +19,11 @@
   late: number,
 ): void {
   const random = seededRandom(hash32(`${lost}/${late}`));
-  const drawn = (share: number) => (call: StoreCall) =>
+  const writesAtRate = (share: number) => (call: StoreCall) =>
     call.writes && random.float() < share;
-  faults.add({fault: {kind: 'answer-lost'}, matches: drawn(lost)});
+  faults.add({fault: {kind: 'answer-lost'}, matches: writesAtRate(lost)});
   faults.add({
-    fault: {kind: 'lands-late', delayMs: LATE_MS},
-    matches: drawn(late),
+    fault: {kind: 'lands-late', delayMs: LATE_WRITE_DELAY_MS},
+    matches: writesAtRate(late),
   });
 }
--- a/packages/membership/src/test/process/leased_membership_test.ts
+++ b/packages/membership/src/test/process/leased_membership_test.ts
@@ -33,7 +33,7 @@
   t.is(members.ownerOf(7)?.entryId, 'e1');
 });
 
-test('entries that join get their part, handed over when finished', async t => {
+test('a joining entry gets shares once work on them has finished', async t => {
   const {fleet, entries} = await fleetOf('e1');
   const first = entries[0]!;
   let finish = () => {};
@@ -41,7 +41,7 @@
   first.members.onHandOver(() => finished);
   const second = fleet.start('e2');
   await fleet.clock.advance(SETTLED_MS);
-  t.is(count(second), 0, 'work on them is not finished');
+  t.is(count(second), 0, 'the work on the shares has not finished');
   const going = shareCount - count(first);
   t.true(going > shareCount / 4);
   finish();
@@ -50,9 +50,10 @@
   t.is(count(first) + count(second), shareCount);
 });
 
-// Story: a host is lost. Its callers' jobs stand still until others take its
-// shares; nobody can say that it is dead but by its lease row not changing.
-test('a dead entry is taken over once its lease has run out', async t => {
+// When a host is lost, the jobs in its shares make no progress until other
+// entries take the shares over. The only sign of its death is that its lease
+// row stays unchanged.
+test('a dead entry is taken over after its lease has expired', async t => {
   const {fleet, entries} = await fleetOf('e1', 'e2', 'e3');
   const [dead, ...alive] = entries;
   const before = epochs(dead!);
@@ -77,10 +78,11 @@
   );
 });
 
-// Story: a host is paused past its lease and carries on as if nothing had been.
-// Its shares are another's by then. By its own clock it knows at once that it
-// may not act, and a write that it had on its way fails on the share's row.
-test('a paused holder wakes without shares, and its fences fail', async t => {
+// Guards against two owners of a share: a host is paused beyond the expiry of
+// its lease and then continues, while another entry owns its shares. Its own
+// clock has to show that the lease has expired, and a write that was in flight
+// has to fail on the version of the share's row.
+test('a paused entry resumes without shares, and its fences fail', async t => {
   const {fleet, entries} = await fleetOf('e1', 'e2');
   const [paused] = entries;
   const {share} = paused!.members.held()[0]!;
@@ -97,19 +99,24 @@
   t.like(late, {ok: false, err: {kind: 'conflict'}});
   paused!.host.resume();
   await fleet.clock.advance(SETTLED_MS);
-  t.is(count(paused!) + count(entries[1]!), shareCount, 'it joins anew');
+  t.is(
+    count(paused!) + count(entries[1]!),
+    shareCount,
+    'it joins the fleet again',
+  );
   t.true(count(paused!) > 0);
 });
 
-// Story: the store is down for ten minutes. Nobody can renew, and nobody is
-// dead. An observer that took "unchanged for ten minutes" for death would take
-// over from the living the moment the store is back.
+// Guards against take-overs from live entries: the store is down for ten
+// minutes, so no entry can renew its lease although all are alive. An observer
+// that counted the time of the outage would take over as soon as the store is
+// back.
 const OUTAGES: Readonly<Record<string, FaultRule>> = {
   whole: {fault: {kind: 'down'}},
   'of writes': {fault: {kind: 'down'}, matches: ({writes}) => writes},
 };
 for (const [name, outage] of Object.entries(OUTAGES)) {
-  test(`after an outage (${name}) all go on with their epochs`, async t => {
+  test(`after an outage (${name}) all entries keep their epochs`, async t => {
     const {fleet, entries} = await fleetOf('e1', 'e2', 'e3');
     const before = entries.map(epochs);
     const events: string[] = [];
@@ -117,7 +124,7 @@
     entries[0]!.members.onTaken(() => events.push('taken'));
     const rule = fleet.faults.add(outage);
     await fleet.clock.advance(600_000);
-    t.deepEqual(entries.map(count), [0, 0, 0], 'the leases have lapsed');
+    t.deepEqual(entries.map(count), [0, 0, 0], 'the leases have expired');
     t.is(new Set(events).size, 1);
     rule[Symbol.dispose]();
     await fleet.clock.advance(2 * DETECTED_MS);
@@ -127,10 +134,10 @@
   });
 }
 
-// Story: each second answer of the store to a write is lost, though the write
-// took effect. An entry that took its own renewal for another's would drop its
-// work, again and again.
-test('lost answers cost no lease', async t => {
+// The responses to half of the writes are lost, although the writes take
+// effect. An entry that mistook its own renewal for the write of another entry
+// would drop its shares repeatedly.
+test('lost responses to renewals do not end a lease', async t => {
   const {fleet, entries} = await fleetOf('e1', 'e2');
   const before = entries.map(epochs);
   loseAnswers(fleet.faults, 0.3, 0.2);
@@ -138,21 +145,24 @@
   t.deepEqual(entries.map(epochs), before);
 });
 
-test('a planned stop hands all over, and nobody waits for a lease', async t => {
+test('a planned shutdown hands over all shares without delay', async t => {
   const {fleet, entries} = await fleetOf('e1', 'e2');
   const [stopping, staying] = entries;
   const finished: number[] = [];
   stopping!.members.onHandOver(async ({share}) => {
-    t.truthy(stopping!.members.fence(share), 'it may still record');
+    t.truthy(
+      stopping!.members.fence(share),
+      'it may still write about the share',
+    );
     t.false(stopping!.members.held().some(held => held.share === share));
     finished.push(share);
   });
-  const had = count(stopping!);
-  const begun = fleet.clock.now();
+  const heldBefore = count(stopping!);
+  const startedAt = fleet.clock.now();
   await fleet.clock.until(stopping!.members.stop(30_000));
-  t.true(fleet.clock.now() - begun < 3_000);
+  t.true(fleet.clock.now() - startedAt < 3_000);
   await fleet.clock.advance(2_000);
-  t.is(finished.length, had);
+  t.is(finished.length, heldBefore);
   t.is(count(staying!), shareCount);
   t.deepEqual(
     staying!.members.peers().map(({entryId}) => entryId),
@@ -160,15 +170,15 @@
   );
 });
 
-test('a stop while the store is down ends in its time', async t => {
+test('a shutdown while the store is down ends by its timeout', async t => {
   const {fleet, entries} = await fleetOf('e1');
   fleet.faults.add({fault: {kind: 'down'}});
-  const begun = fleet.clock.now();
+  const startedAt = fleet.clock.now();
   await fleet.clock.until(entries[0]!.members.stop(5_000));
-  t.true(fleet.clock.now() - begun < 6_000);
+  t.true(fleet.clock.now() - startedAt < 6_000);
 });
 
-test('the last to stop leaves shares that the next to start finds', async t => {
+test('an entry acquires all shares after the last one has stopped', async t => {
   const {fleet, entries} = await fleetOf('e1');
   await fleet.clock.until(entries[0]!.members.stop(30_000));
   const next = fleet.start('e2');
@@ -176,9 +186,10 @@
   t.is(count(next), shareCount);
 });
 
-// Story: a process dies and starts again under the same id within a second. The
-// old lease still stands; the old process may only be paused.
-test('an entry that starts again waits for its own old lease', async t => {
+// A process dies and restarts with the same entry id within a second, while the
+// old lease is still valid. The new process must not act before that lease has
+// expired, since the old process may only be paused.
+test('a restarted entry waits until its previous lease expires', async t => {
   const {fleet, entries} = await fleetOf('e1');
   const fence = entries[0]!.members.fence(0)!;
   entries[0]!.host.kill();
@@ -190,7 +201,7 @@
   t.true(again.members.fence(0)!.version > fence.version);
 });
 
-test('the number of shares is fixed by the first that starts', async t => {
+test('the first entry to start fixes the number of shares', async t => {
   const fleet = new FakeMembers();
   fleet.start('e1', {shareCount: 16});
   await fleet.clock.advance(SETTLED_MS);
@@ -199,7 +210,7 @@
   t.is(later.members.shareCount, 16);
 });
 
-test('what an entry asks of the store does not grow with the fleet', async t => {
+test('store calls per entry do not grow with the fleet', async t => {
   const rates: Record<number, readonly number[]> = {};
   for (const size of [4, 24]) {
     const ids = [...Array(size).keys()].map(i => `e${i}`);
@@ -217,7 +228,7 @@
       size;
     rates[size] = [rate('reads'), rate('rowsRead'), rate('writes')];
   }
-  t.log('calls read, rows read, writes per entry and second', rates);
+  t.log('read calls, rows read and writes per entry and second', rates);
   for (const [reads, rows, writes] of Object.values(rates)) {
     t.true(reads! <= 1);
     t.true(rows! <= 1.7);
--- a/packages/membership/src/test/process/membership_property_test.ts
+++ b/packages/membership/src/test/process/membership_property_test.ts
@@ -9,7 +9,7 @@
 const SEED = Number(process.env['OATHEAD_PROPERTY_SEED'] ?? 4);
 const SHARES = 8;
 const STEP_MS = 500;
-const HEALED_MS = 90_000;
+const RECOVERY_MS = 90_000;
 
 const KINDS = [
   'pause',
@@ -32,11 +32,11 @@
   {minLength: 3, maxLength: 12},
 );
 
-/** Three entries that come and go. */
+/** Three entries that are started, stopped, paused and killed. */
 class World {
   readonly fleet: FakeMembers;
   readonly live: (FakeMember | undefined)[] = [];
-  /** All processes that ever ran, those that are paused or dead included. */
+  /** All processes ever started, including those paused, stopped or dead. */
   readonly all: FakeMember[] = [];
   private starts = 0;
 
@@ -47,7 +47,7 @@
 
   start(entry: number): void {
     if (this.live[entry]) return;
-    // Half of the hosts come back under the id that they had.
+    // Half of the restarted entries keep their previous id.
     const again = seededRandom(hash32(`${this.starts++}`)).float() < 0.5;
     const id = again ? `e${entry}` : `e${entry}-${this.starts}`;
     const member = this.fleet.start(id);
@@ -72,13 +72,15 @@
     }
   }
 
-  /** No two processes may act on one share, whatever they believe. */
+  /** @throws If two processes hold the same share at the same time. */
   private check(): void {
     const holders = this.all.flatMap(({members}) =>
       members.held().map(({share}) => share),
     );
     if (new Set(holders).size === holders.length) return;
-    throw new Error(`held twice: ${holders.sort().join(' ')}`);
+    throw new Error(
+      `a share has two holders; shares held: ${holders.sort().join(' ')}`,
+    );
   }
 }
 
@@ -97,7 +99,7 @@
   heal: world => world.fleet.faults.clear(),
 };
 
-test('no share is ever held twice, and none is lost', async t => {
+test('no share ever has two holders, and none stays without one', async t => {
   const property = fc.asyncProperty(steps, fc.nat(), async (script, seed) => {
     const world = new World(seed);
     await world.pass(8_000);
@@ -111,7 +113,7 @@
       member?.host.resume();
       if (member === undefined) world.start(entry);
     }
-    await world.pass(HEALED_MS);
+    await world.pass(RECOVERY_MS);
     const held = world.live.flatMap(member =>
       member!.members.held().map(({share}) => share),
     );
