--- a/packages/observe/src/index.ts
+++ b/packages/observe/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Counters, histograms, traces, debug logs and settings files, alike for both
+ * Counters, histograms, traces, debug logs and settings files, shared by both
  * binaries.
  *
  * @packageDocumentation
--- a/packages/observe/src/lib/process/hops.ts
+++ b/packages/observe/src/lib/process/hops.ts
@@ -1,4 +1,7 @@
-/** One span for each hop of a request, carried by W3C trace context. */
+/**
+ * One span for each hop of a request. W3C trace context propagates the trace
+ * from hop to hop.
+ */
 import {
   ROOT_CONTEXT,
   SpanKind,
@@ -16,12 +19,12 @@
 /**
  * Starts the span of one hop.
  *
- * @param tracer - The process's tracer.
- * @param name - What the hop does.
- * @param traceparent - The hop before, as W3C trace context; one that cannot
- *     be read starts a new trace.
- * @param attributes - Never prompts or keys.
- * @returns The span; whoever started it ends it.
+ * @param tracer - The tracer of the process.
+ * @param name - Span name: the operation that the hop performs.
+ * @param traceparent - `traceparent` header value of the previous hop. A
+ *     missing or malformed value starts a new trace.
+ * @param attributes - Span attributes. Must not contain prompts or API keys.
+ * @returns The span, which the code that started it must end.
  */
 export function startHop(
   tracer: Tracer,
@@ -32,13 +35,14 @@
   return tracer.startSpan(
     name,
     {kind: SpanKind.SERVER, attributes},
-    contextOf(traceparent),
+    parseTraceparent(traceparent),
   );
 }
 
 /**
- * @param span - The span of this hop.
- * @returns W3C trace context for the next hop; undefined when traces are off.
+ * @param span - The span of the current hop.
+ * @returns `traceparent` value to send to the next hop, or undefined when
+ *     tracing is off.
  */
 export function traceparentOf(span: Span): string | undefined {
   const {traceId, spanId, traceFlags} = span.spanContext();
@@ -50,8 +54,9 @@
 /**
  * Ends the span of a hop.
  *
- * @param span - The span.
- * @param errorKind - The kind of refusal it ended with, if any.
+ * @param span - The span to end.
+ * @param errorKind - Kind of the refusal that ended the hop, which is recorded
+ *     as the error status of the span; undefined on success.
  */
 export function endHop(span: Span, errorKind?: string): void {
   if (errorKind !== undefined) {
@@ -60,7 +65,7 @@
   span.end();
 }
 
-function contextOf(traceparent: string | undefined): Context {
+function parseTraceparent(traceparent: string | undefined): Context {
   const match = TRACEPARENT.exec(traceparent ?? '');
   if (!match) return ROOT_CONTEXT;
   const [, traceId, spanId, flags] = match;
--- a/packages/observe/src/lib/process/json_event_log.ts
+++ b/packages/observe/src/lib/process/json_event_log.ts
@@ -1,36 +1,38 @@
 /**
- * Structured logs on standard output: a line of JSON for each event.
+ * Structured log that writes each event as one line of JSON.
  *
- * Guards against a reader of the output that has stopped reading, or a flood of
- * events: lines wait in a bounded buffer, and what does not fit is dropped and
- * counted; the process never waits for its log.
+ * Writing never blocks the process, even if the reader of the output stops
+ * reading or events arrive faster than they can be written: lines are queued in
+ * a bounded buffer, and lines that do not fit are dropped and counted.
  */
 import type {Counters, EventFields, EventLog} from '@oathead/core';
 import {destination, pino, stdTimeFunctions} from 'pino';
 
-/** How lines are written. */
+/** Options of {@link jsonEventLog}. */
 export interface JsonLogOptions {
-  /** Which process writes, in each line. */
+  /** Fields that identify the process; included in each line. */
   readonly process: Readonly<Record<string, string>>;
-  /** Bytes that wait to be written at the most. */
+  /** Maximum size of the queue of unwritten lines, in bytes. */
   readonly maxBufferBytes: number;
-  /** Where to write: a file descriptor. */
+  /** File descriptor to write to. */
   readonly fd: number;
 }
 
-/** A second of a busy process's lines, some 200 bytes each. */
+/** Holds about one second of lines of a busy process, at 200 bytes each. */
 export const DEFAULT_LOG_BUFFER_BYTES = 1024 * 1024;
 
-/** A log that can be written out before the process ends. */
+/** An event log that can be flushed before the process exits. */
 export interface FlushableEventLog extends EventLog {
-  /** Writes what waits, at once. */
+  /** Writes all queued lines synchronously. */
   flush(): void;
 }
 
 /**
- * @param options - Who writes, and where.
- * @param counters - Counts lines that were dropped.
- * @returns A log that never blocks.
+ * Creates a JSON event log.
+ *
+ * @param options - Process fields, buffer size and file descriptor.
+ * @param counters - Receives `log_lines_dropped`, the number of dropped lines.
+ * @returns A log whose `event` method never blocks.
  */
 export function jsonEventLog(
   options: JsonLogOptions,
--- a/packages/observe/src/lib/process/log.ts
+++ b/packages/observe/src/lib/process/log.ts
@@ -1,12 +1,16 @@
-/** Logs by `debug`: lines only for changes of state, on with `DEBUG=oathead:*`. */
+/**
+ * Debug logs by the `debug` package. They record changes of state only and are
+ * enabled with `DEBUG=oathead:*`.
+ */
 import debug from 'debug';
 
-/** Writes one line. */
+/** Writes one line, with the format placeholders of the `debug` package. */
 export type Log = (format: string, ...values: readonly unknown[]) => void;
 
 /**
- * @param area - What part of the system writes, such as `entry:links`.
- * @returns A log of that area.
+ * @param area - Component that writes the log, such as `entry:links`. Appended
+ *     to the `oathead:` namespace.
+ * @returns The debug log of that component.
  */
 export function logOf(area: string): Log {
   return debug(`oathead:${area}`);
--- a/packages/observe/src/lib/process/log_tracing.ts
+++ b/packages/observe/src/lib/process/log_tracing.ts
@@ -1,4 +1,4 @@
-/** Traces as events of the process's log, for programs without a collector. */
+/** Exports spans to the event log, for programs without a trace collector. */
 import type {Tracer} from '@opentelemetry/api';
 import type {EventLog} from '@oathead/core';
 import {resourceFromAttributes} from '@opentelemetry/resources';
@@ -10,9 +10,12 @@
 } from '@opentelemetry/sdk-trace-base';
 import {spanLine} from './span_line.js';
 
-/** Writes each span as an event of the log, which is bounded and never waits. */
+/**
+ * Writes each span as an event of the log. The log is bounded and never blocks,
+ * so neither does the export.
+ */
 export class EventLogExporter implements SpanExporter {
-  /** @param log - Where the spans go. */
+  /** @param log - Receives one `span` event for each span. */
   constructor(private readonly log: EventLog) {}
 
   /** {@inheritDoc SpanExporter.export} */
@@ -34,8 +37,10 @@
 }
 
 /**
- * @param serviceName - Names the process in the traces.
- * @param log - Where each span becomes a line.
+ * Starts tracing to the event log.
+ *
+ * @param serviceName - Value of the `service.name` resource attribute.
+ * @param log - Receives one `span` event for each span.
  * @returns A tracer that records all spans.
  */
 export function startLogTracing(serviceName: string, log: EventLog): Tracer {
--- a/packages/observe/src/lib/process/metrics.ts
+++ b/packages/observe/src/lib/process/metrics.ts
@@ -1,6 +1,7 @@
 /**
- * Counters and histograms of one process, as Prometheus text. Latencies are
- * kept in HDR histograms, which lose no tail.
+ * Counters, gauges and latency histograms of one process, exposed in Prometheus
+ * text format. Latencies are recorded in HDR histograms, which keep the tail of
+ * the distribution.
  */
 import {build} from 'hdr-histogram-js';
 import type {Histogram} from 'hdr-histogram-js';
@@ -8,9 +9,9 @@
 import type {Counters, Labels} from '@oathead/core';
 
 const PREFIX = 'oathead_';
-const MICROSECONDS = 1000;
-const HIGHEST_MICROSECONDS = 3_600_000_000;
-const SIGNIFICANT_DIGITS = 3;
+const MICROS_PER_MS = 1000;
+const MAX_LATENCY_MICROSECONDS = 3_600_000_000;
+const SIGNIFICANT_VALUE_DIGITS = 3;
 const QUANTILES = [0.5, 0.95, 0.99, 0.999] as const;
 const PERCENT = 100;
 
@@ -31,14 +32,16 @@
   /**
    * {@inheritDoc Counters.count}
    *
-   * Label names are part of the counter's identity here: Prometheus refuses to
-   * add one to a counter that exists, and a call that counts must never fail.
+   * The first call for a counter fixes its label names, because Prometheus
+   * client libraries reject new label names on an existing counter and counting
+   * must never throw. Calls with other label names are counted in
+   * `counter_label_mismatches` instead.
    */
   count(name: string, labels: Labels = {}, by = 1): void {
     const names = Object.keys(labels);
-    const known = this.labelNames.get(name) ?? names.join();
-    this.labelNames.set(name, known);
-    if (known !== names.join()) {
+    const expectedNames = this.labelNames.get(name) ?? names.join();
+    this.labelNames.set(name, expectedNames);
+    if (expectedNames !== names.join()) {
       this.count('counter_label_mismatches', {name}, by);
       return;
     }
@@ -56,11 +59,11 @@
   }
 
   /**
-   * Records how long something took.
+   * Records a latency.
    *
-   * @param name - What was timed, in snake_case, without unit.
-   * @param ms - Milliseconds.
-   * @param labels - What tells it from others of the name.
+   * @param name - Metric name in snake_case, without the unit suffix.
+   * @param ms - Latency in milliseconds.
+   * @param labels - Labels of the time series.
    */
   record(name: string, ms: number, labels: Labels = {}): void {
     const key = name + JSON.stringify(labels);
@@ -74,10 +77,10 @@
   }
 
   /**
-   * Shows a value that is read whenever the metrics are.
+   * Registers a gauge whose value is read at each collection of the metrics.
    *
-   * @param name - What it is, in snake_case.
-   * @param read - Gives the value.
+   * @param name - Metric name in snake_case.
+   * @param read - Returns the current value.
    */
   gauge(name: string, read: () => number): void {
     new Gauge({
@@ -95,7 +98,7 @@
     const entries = [...this.histograms.values()];
     const names = new Set(entries.map(entry => entry.name));
     const summaries = [...names].map(name =>
-      summaryText(
+      formatSummary(
         name,
         entries.filter(entry => entry.name === name),
       ),
@@ -104,35 +107,37 @@
   }
 }
 
-/** @returns A histogram of latencies from a microsecond to an hour. */
+/** @returns A histogram for latencies between one microsecond and one hour. */
 export function newLatencyHistogram(): Histogram {
   return build({
     lowestDiscernibleValue: 1,
-    highestTrackableValue: HIGHEST_MICROSECONDS,
-    numberOfSignificantValueDigits: SIGNIFICANT_DIGITS,
+    highestTrackableValue: MAX_LATENCY_MICROSECONDS,
+    numberOfSignificantValueDigits: SIGNIFICANT_VALUE_DIGITS,
     bitBucketSize: 32,
   });
 }
 
 /**
- * @param histogram - Made by {@link newLatencyHistogram}.
- * @param ms - Milliseconds.
+ * Records a latency, clamped to the range of the histogram.
+ *
+ * @param histogram - Created by {@link newLatencyHistogram}.
+ * @param ms - Latency in milliseconds.
  */
 export function recordLatency(histogram: Histogram, ms: number): void {
-  const microseconds = Math.max(1, Math.round(ms * MICROSECONDS));
-  histogram.recordValue(Math.min(microseconds, HIGHEST_MICROSECONDS));
+  const microseconds = Math.max(1, Math.round(ms * MICROS_PER_MS));
+  histogram.recordValue(Math.min(microseconds, MAX_LATENCY_MICROSECONDS));
 }
 
 /**
- * @param histogram - Made by {@link newLatencyHistogram}.
- * @param quantile - From 0 to 1.
- * @returns Milliseconds.
+ * @param histogram - Created by {@link newLatencyHistogram}.
+ * @param quantile - Between 0 and 1.
+ * @returns The latency at the quantile, in milliseconds.
  */
 export function latencyAt(histogram: Histogram, quantile: number): number {
-  return histogram.getValueAtPercentile(quantile * PERCENT) / MICROSECONDS;
+  return histogram.getValueAtPercentile(quantile * PERCENT) / MICROS_PER_MS;
 }
 
-function summaryText(
+function formatSummary(
   name: string,
   entries: readonly LabelledHistogram[],
 ): string {
@@ -141,16 +146,18 @@
   lines.push(`# TYPE ${metric} summary`);
   for (const {labels, histogram, sumMs} of entries) {
     for (const quantile of QUANTILES) {
-      const text = labelText({...labels, quantile: String(quantile)});
+      const text = formatLabels({...labels, quantile: String(quantile)});
       lines.push(`${metric}${text} ${latencyAt(histogram, quantile)}`);
     }
-    lines.push(`${metric}_sum${labelText(labels)} ${sumMs}`);
-    lines.push(`${metric}_count${labelText(labels)} ${histogram.totalCount}`);
+    lines.push(`${metric}_sum${formatLabels(labels)} ${sumMs}`);
+    lines.push(
+      `${metric}_count${formatLabels(labels)} ${histogram.totalCount}`,
+    );
   }
   return lines.join('\n') + '\n';
 }
 
-function labelText(labels: Labels): string {
+function formatLabels(labels: Labels): string {
   const pairs = Object.entries(labels);
   if (pairs.length === 0) return '';
   return `{${pairs.map(([k, v]) => `${k}=${JSON.stringify(v)}`).join(',')}}`;
--- a/packages/observe/src/lib/process/settings.ts
+++ b/packages/observe/src/lib/process/settings.ts
@@ -1,13 +1,13 @@
 /**
- * Settings files: JSON, checked against a schema before anything starts, every
- * problem listed with its path.
+ * Loads JSON settings files and validates them against a schema at startup.
+ * Every problem is reported with its path.
  */
 import {readFile} from 'node:fs/promises';
 import type {z} from 'zod';
 import {failure, success} from '@oathead/core';
 import type {Outcome, Problem} from '@oathead/core';
 
-/** Why a settings file cannot be used. */
+/** Why a settings file was rejected. */
 export interface SettingsError {
   readonly kind: 'unreadable' | 'not-json' | 'invalid';
   readonly file: string;
@@ -15,11 +15,11 @@
 }
 
 /**
- * Reads and checks a settings file.
+ * Reads and validates a settings file.
  *
- * @param file - Its path.
- * @param schema - What it must look like; defaults are filled in.
- * @returns The settings, or every problem found.
+ * @param file - Path of the file.
+ * @param schema - Schema of the settings, which also supplies the defaults.
+ * @returns The settings, or an error that lists every problem found.
  */
 export async function loadSettings<T>(
   file: string,
@@ -47,8 +47,10 @@
 }
 
 /**
- * @param err - What zod found wrong.
- * @returns The same as typed problems, with paths such as `items.3.id`.
+ * Converts a zod error.
+ *
+ * @param err - Result of a failed validation.
+ * @returns One problem for each issue, with paths such as `items.3.id`.
  */
 export function problemsOf(err: z.ZodError): readonly Problem[] {
   return err.issues.map(issue => ({
@@ -58,8 +60,10 @@
 }
 
 /**
- * @param err - Why a settings file cannot be used.
- * @returns Lines for a person, one a problem.
+ * Formats a settings error for the operator.
+ *
+ * @param err - Why the settings file was rejected.
+ * @returns One line for each problem: file, path and message.
  */
 export function settingsErrorText(err: SettingsError): string {
   return err.problems
--- a/packages/observe/src/lib/process/span_line.ts
+++ b/packages/observe/src/lib/process/span_line.ts
@@ -1,21 +1,21 @@
-/** A span as the fields of one line. */
+/** Conversion of spans to log lines. */
 import type {ReadableSpan} from '@opentelemetry/sdk-trace-base';
 
-/** What a line says of a span. */
+/** Fields of the line that is written for a span. */
 export interface SpanLine {
   readonly traceId: string;
   readonly spanId: string;
   readonly parentSpanId: string | undefined;
   readonly name: string;
   readonly durationMs: number;
-  /** `ok`, or the kind of refusal that the hop ended with. */
+  /** `ok`, or the kind of the refusal that ended the hop. */
   readonly status: string;
   readonly attributes: ReadableSpan['attributes'];
 }
 
 /**
  * @param span - A span that has ended.
- * @returns What its line says.
+ * @returns The fields of its line.
  */
 export function spanLine(span: ReadableSpan): SpanLine {
   const [seconds, nanoseconds] = span.duration;
--- a/packages/observe/src/lib/process/stall_watch.ts
+++ b/packages/observe/src/lib/process/stall_watch.ts
@@ -1,20 +1,25 @@
 /**
- * Tells when the process itself stood still: it was frozen, starved of its
- * processor, or busy with one thing for too long. Nothing that it does can be in
- * time then, and the lines of its requests look as if their targets were slow: a
- * request of 1 MB was answered 504 after 2.1 s by a process that was stopped for
- * 250 of each 255 ms, and 200 after 0.5 to 0.8 s while only its targets stood still.
+ * Detects stalls of the process itself: it was suspended, starved of CPU time,
+ * or its event loop was blocked. A stalled process misses its deadlines, and
+ * its request logs look as if the targets were slow. For example, a process
+ * that was suspended for 250 of each 255 ms answered a 1 MB request with 504
+ * after 2.1 s; with only its targets suspended, it answered with 200 after 0.5
+ * to 0.8 s.
  */
 import type {Clock, Counters, EventLog} from '@oathead/core';
 
-/** How often the time is looked at, in milliseconds: a tenth of the least timeout of
- * a route, for a few wake-ups a second. */
-const LOOK_MS = 100;
-/** What is told, in milliseconds: beyond what a full collection of garbage takes,
- * and most of the objective of a short request. */
-const STALL_MS = 150;
+/**
+ * Interval between checks, in milliseconds: a tenth of the shortest route
+ * timeout, at the cost of a few wake-ups a second.
+ */
+const CHECK_INTERVAL_MS = 100;
+/**
+ * Shortest stall that is reported, in milliseconds: longer than a full garbage
+ * collection, and most of the latency objective of a short request.
+ */
+const STALL_THRESHOLD_MS = 150;
 
-/** What {@link watchStalls} needs. */
+/** Dependencies of {@link watchStalls}. */
 export interface StallContext {
   readonly clock: Clock;
   readonly counters: Counters;
@@ -22,21 +27,24 @@
 }
 
 /**
- * @param context - Time, and where stalls are told; at most one line for each
- *     `STALL_MS` in which the process did nothing else.
- * @returns Ends the watch when disposed.
+ * Starts to detect stalls.
+ *
+ * @param context - The clock, and the counters and log that stalls are reported
+ *     to. A stall produces one log line, so there is at most one line for each
+ *     {@link STALL_THRESHOLD_MS} of stalled time.
+ * @returns Stops the detection when disposed.
  */
 export function watchStalls({clock, counters, log}: StallContext): Disposable {
-  let lookedAt = clock.now();
+  let lastCheckAt = clock.now();
   const timer = setInterval(() => {
     const now = clock.now();
-    const stalledMs = Math.round(now - lookedAt - LOOK_MS);
-    lookedAt = now;
-    if (stalledMs < STALL_MS) return;
+    const stalledMs = Math.round(now - lastCheckAt - CHECK_INTERVAL_MS);
+    lastCheckAt = now;
+    if (stalledMs < STALL_THRESHOLD_MS) return;
     counters.count('process_stalls');
     counters.count('process_stalled_ms', {}, stalledMs);
     log.event('process-stalled', {ms: stalledMs});
-  }, LOOK_MS);
+  }, CHECK_INTERVAL_MS);
   timer.unref();
   return {[Symbol.dispose]: () => clearInterval(timer)};
 }
--- a/packages/observe/src/lib/process/tracing.ts
+++ b/packages/observe/src/lib/process/tracing.ts
@@ -1,4 +1,4 @@
-/** Where the spans of a process go: nowhere, to lines of JSON, or to a collector. */
+/** Trace exporters of a process: off, JSON lines, or an OTLP collector. */
 import {trace, type Tracer} from '@opentelemetry/api';
 import {OTLPTraceExporter} from '@opentelemetry/exporter-trace-otlp-http';
 import {resourceFromAttributes} from '@opentelemetry/resources';
@@ -15,7 +15,7 @@
 import {z} from 'zod';
 import {spanLine} from './span_line.js';
 
-/** Where traces go. */
+/** Schema of the trace exporter settings. */
 export const TRACING_SETTINGS = z
   .discriminatedUnion('exporter', [
     z.strictObject({exporter: z.literal('off')}),
@@ -24,19 +24,19 @@
   ])
   .default({exporter: 'off'});
 
-/** Where traces go. */
+/** The selected trace exporter. */
 export type TracingSettings = z.infer<typeof TRACING_SETTINGS>;
 
-/** A process's traces. */
+/** The tracing of a process. */
 export interface Tracing {
   readonly tracer: Tracer;
-  /** Sends what is left, and ends. */
+  /** Exports the remaining spans and shuts the exporter down. */
   shutdown(): Promise<void>;
 }
 
 /** Writes each span as one JSON line. */
 export class JsonLineExporter implements SpanExporter {
-  /** @param write - Takes a line without its end. */
+  /** @param write - Receives each line, without a line terminator. */
   constructor(private readonly write: (line: string) => void) {}
 
   /** {@inheritDoc SpanExporter.export} */
@@ -64,9 +64,12 @@
 };
 
 /**
- * @param serviceName - Names the process in the traces.
- * @param settings - Where the traces go.
- * @returns The process's traces; nothing is recorded when they are off.
+ * Starts tracing.
+ *
+ * @param serviceName - Value of the `service.name` resource attribute.
+ * @param settings - Selects the exporter.
+ * @returns The tracing of the process; records no spans if the exporter is
+ *     `off`.
  */
 export function startTracing(
   serviceName: string,
--- a/packages/observe/src/test/process/metrics_test.ts
+++ b/packages/observe/src/test/process/metrics_test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import {Metrics} from '../../lib/process/metrics.js';
 
-test('shows counters and gauges with their labels', async t => {
+test('exposes counters and gauges with their labels', async t => {
   const metrics = new Metrics();
   metrics.count('requests', {class: 'online'});
   metrics.count('requests', {class: 'online'}, 2);
@@ -11,7 +11,7 @@
   t.true(text.includes('oathead_open_streams 7'));
 });
 
-test('keeps the tail of a latency', async t => {
+test('keeps the tail of a latency distribution', async t => {
   const metrics = new Metrics();
   for (let i = 0; i < 999; i++) metrics.record('first_token', 10);
   metrics.record('first_token', 5000);
@@ -22,10 +22,10 @@
   t.true(text.includes('oathead_first_token_ms_count 1001'));
 });
 
-// A store fails first in one way, then in another, and the second way is counted
-// with a label that the first had not. Counting threw, nobody caught it, and an
-// outage of the store ended the process.
-test('counting with other labels does not fail', async t => {
+// A counter is incremented with label names that differ from those of its first
+// use, for example after two kinds of store failure. If counting throws, the
+// uncaught exception turns an outage of the store into a crash of the process.
+test('counting with different label names does not throw', async t => {
   const metrics = new Metrics();
   metrics.count('failures');
   metrics.count('failures', {kind: 'down'});
--- a/packages/observe/src/test/process/settings_test.ts
+++ b/packages/observe/src/test/process/settings_test.ts
@@ -34,7 +34,7 @@
   t.is(settingsErrorText(loaded.err).split('\n').length, 3);
 });
 
-test('tells text that is not JSON from a missing file', async t => {
+test('distinguishes invalid JSON from a missing file', async t => {
   const broken = await loadSettings(await settingsFile('{'), SCHEMA);
   const missing = await loadSettings('does-not-exist.json', SCHEMA);
   t.is(!broken.ok && broken.err.kind, 'not-json');
--- a/packages/observe/src/test/process/tracing_test.ts
+++ b/packages/observe/src/test/process/tracing_test.ts
@@ -6,7 +6,7 @@
 import {endHop, startHop, traceparentOf} from '../../lib/process/hops.js';
 import {JsonLineExporter} from '../../lib/process/tracing.js';
 
-test('a hop continues the trace of the hop before', t => {
+test('a hop continues the trace of the previous hop', t => {
   const lines: string[] = [];
   const exporter = new JsonLineExporter(line => lines.push(line));
   const provider = new BasicTracerProvider({
@@ -26,7 +26,7 @@
   t.is(outer?.['status'], 'ok');
 });
 
-test('a traceparent that cannot be read starts a new trace', t => {
+test('a malformed traceparent starts a new trace', t => {
   const provider = new BasicTracerProvider();
   const span = startHop(provider.getTracer('test'), 'entry', 'nonsense');
   t.regex(traceparentOf(span) ?? '', /^00-[0-9a-f]{32}-[0-9a-f]{16}-01$/);
