--- a/packages/stores/src/lib/connection/store_connection.ts
+++ b/packages/stores/src/lib/connection/store_connection.ts
@@ -1,46 +1,49 @@
 /**
- * Connections to one service of the platform over HTTP: pooled and kept alive,
- * with a timeout for each call and errors as values.
+ * HTTP client for the platform, with a pool of keep-alive connections and a
+ * timeout for each call. Errors are returned, not thrown.
  */
 import {failure, success, type Clock, type Outcome} from '@oathead/core';
 import {Pool, type Dispatcher} from 'undici';
 import type {StoreError} from '../process/table_store.js';
 
-/** How the platform is reached. */
+/** Options of a {@link StoreConnection}. */
 export interface StoreConnectionOptions {
-  /** Where it listens; the next one is tried after a failure. */
+  /** Base URLs of the platform. After a failed call the next one is used. */
   readonly baseUrls: readonly string[];
-  /** Time for a whole call, in milliseconds. */
+  /** Timeout of a whole call, in milliseconds. */
   readonly timeoutMs: number;
-  /** Open connections to one base URL at the most. */
+  /** Maximum number of open connections to one base URL. */
   readonly connections: number;
-  /** How long an idle connection is kept, in milliseconds. */
+  /** Keep-alive timeout of an idle connection, in milliseconds. */
   readonly keepAliveMs: number;
 }
 
-/** Defaults of {@link StoreConnectionOptions}, apart from where to connect. */
+/** Defaults of {@link StoreConnectionOptions}, except for the base URLs. */
 export const DEFAULT_STORE_CONNECTION = {
   timeoutMs: 2000,
   connections: 16,
   keepAliveMs: 30_000,
 } as const;
 
-/** One call. */
+/** An HTTP request to the platform. */
 export interface StoreRequest {
   readonly method: 'GET' | 'POST' | 'PUT' | 'DELETE';
   readonly path: string;
   readonly body?: string | Uint8Array;
-  /** Whether a lost answer leaves open what was written. */
+  /**
+   * Whether the request writes, so that a lost response leaves its effect
+   * unknown.
+   */
   readonly writes: boolean;
 }
 
-/** What came back, whatever its status. */
+/** An HTTP response of any status. */
 export interface StoreResponse {
   readonly status: number;
   readonly body: Uint8Array;
 }
 
-/** Errors that come before any byte of a request is sent. */
+/** Codes of errors that occur before any byte of a request is sent. */
 const NOT_SENT_CODES: ReadonlySet<string> = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -49,21 +52,21 @@
   'UND_ERR_CONNECT_TIMEOUT',
 ]);
 
-const CLOSED: StoreError = {
+const CLOSED_ERROR: StoreError = {
   kind: 'unavailable',
   applied: 'no',
   message: 'the connection to the platform was closed here',
 };
 
-/** A pool of connections that replaces itself when one goes silent. */
+/** A connection pool that is replaced after a failed call. */
 export class StoreConnection implements AsyncDisposable {
   private pool: Pool;
   private urlIndex = 0;
   private disposed = false;
 
   /**
-   * @param clock - Time for timeouts.
-   * @param options - Where and how to connect.
+   * @param clock - Clock for timeouts.
+   * @param options - Base URLs, timeouts and pool size.
    */
   constructor(
     private readonly clock: Clock,
@@ -73,25 +76,28 @@
   }
 
   /**
-   * @param req - What to ask.
-   * @returns What came back, or why nothing did.
+   * Sends a request. Does not retry it.
+   *
+   * @param req - The request.
+   * @returns The response, whatever its status, or an `unavailable` error if
+   *     the call failed or timed out.
    */
   async call(req: StoreRequest): Promise<Outcome<StoreResponse, StoreError>> {
-    if (this.disposed) return failure(CLOSED);
+    if (this.disposed) return failure(CLOSED_ERROR);
     const pool = this.pool;
     const abort = new AbortController();
     const timer = this.clock.after(this.options.timeoutMs, () => abort.abort());
     try {
       return success(await send(pool, req, abort.signal));
     } catch (err) {
-      this.replace(pool);
+      this.replacePool(pool);
       return failure(toStoreError(err, req));
     } finally {
       timer[Symbol.dispose]();
     }
   }
 
-  /** Waits for calls under way, then closes the connections. */
+  /** Waits for calls in flight, then closes the connections. */
   async [Symbol.asyncDispose](): Promise<void> {
     if (this.disposed) return;
     this.disposed = true;
@@ -99,12 +105,14 @@
   }
 
   /**
-   * Guards against connections that have gone silent for good because
-   * something between the two ends has lost track of them. It shows as a
-   * timeout. The others of the pool are as old and may be as silent, so all of
-   * them are given up at once; calls under way on them still run to their end.
+   * Replaces the pool after a failed call and moves to the next base URL.
+   *
+   * A middlebox that has dropped the state of a connection leaves it
+   * unresponsive for good, which shows as a timeout. The other connections of
+   * the pool are as old and may be affected as well, so all of them are
+   * replaced. Calls in flight on the old pool still run to completion.
    */
-  private replace(failed: Pool): void {
+  private replacePool(failed: Pool): void {
     if (failed !== this.pool || this.disposed) return;
     this.urlIndex++;
     this.pool = this.createPool();
@@ -118,7 +126,7 @@
       connections,
       keepAliveTimeout: keepAliveMs,
       connect: {timeout: timeoutMs},
-      // The timeout of the whole call is shorter than these would be.
+      // Disabled: the timeout of the whole call is shorter than the defaults.
       headersTimeout: 0,
       bodyTimeout: 0,
     });
--- a/packages/stores/src/lib/connection/store_answers.ts
+++ b/packages/stores/src/lib/connection/store_responses.ts
@@ -1,4 +1,4 @@
-/** Checks of what a store answers over HTTP. */
+/** Schemas and validation of the HTTP responses of the platform. */
 import {failure, success, type Outcome} from '@oathead/core';
 import {z} from 'zod';
 import type {Json, StoreError} from '../process/table_store.js';
@@ -8,7 +8,7 @@
   StoreResponse,
 } from './store_connection.js';
 
-/** What JSON carries needs no further check. */
+/** Any parsed JSON value is valid; only a missing value is rejected. */
 const JSON_SCHEMA = z.custom<Json>(value => value !== undefined);
 
 const ROW_SCHEMA = z.object({
@@ -17,26 +17,28 @@
   version: z.number().int().positive(),
 });
 
-/** Answer to a read by keys; null where there is no row. */
+/** Response to a read by keys; null for each key without a row. */
 export const READ_SCHEMA = z.object({rows: z.array(ROW_SCHEMA.nullable())});
 
-/** Answer to a listing. */
+/** Response to a listing. */
 export const LIST_SCHEMA = z.object({rows: z.array(ROW_SCHEMA)});
 
-/** Answer to a transaction. */
+/** Response to a transaction: the new versions of the rows, by key. */
 export const COMMITTED_SCHEMA = z.object({
   versions: z.record(z.string(), z.number().int().positive()),
 });
 
-/** Answer about one set of weights; null where there is none. */
+/** Response with the metadata of one set of weights; null if unknown. */
 export const WEIGHT_SCHEMA = z.object({
   weight: z.object({name: z.string(), bytes: z.number()}).nullable(),
 });
 
-/** Answer about the rate of the weight store. */
-export const LOADS_SCHEMA = z.object({concurrentLoads: z.number().int()});
+/** Response with the number of concurrent loads the weight store allows. */
+export const CONCURRENT_LOADS_SCHEMA = z.object({
+  concurrentLoads: z.number().int(),
+});
 
-/** Answer of the host list. */
+/** Response of the host list. */
 export const HOSTS_SCHEMA = z.object({
   hosts: z.array(
     z.object({
@@ -49,7 +51,7 @@
   ),
 });
 
-/** Body of an answer that tells why there is no result. */
+/** Body of an error response. */
 const ERROR_SCHEMA = z.discriminatedUnion('kind', [
   z.object({
     kind: z.literal('unavailable'),
@@ -68,10 +70,13 @@
 const FIRST_SERVER_ERROR_STATUS = 500;
 
 /**
- * @param connection - Where to ask.
- * @param req - What to ask.
- * @param schema - What the answer must be.
- * @returns The checked answer, or why there is none.
+ * Sends a request and validates the JSON body of the response.
+ *
+ * @param connection - Connection to the service.
+ * @param req - The request.
+ * @param schema - Schema of the response body.
+ * @returns The validated body. A failed call, an error status and a body that
+ *     does not match the schema are returned as errors.
  */
 export async function callJson<T>(
   connection: StoreConnection,
@@ -82,13 +87,16 @@
   if (!res.ok) return res;
   const parsed = schema.safeParse(parseJson(res.value));
   if (parsed.success) return success(parsed.data);
-  return failure(malformed(req, z.prettifyError(parsed.error)));
+  return failure(toMalformedResponseError(req, z.prettifyError(parsed.error)));
 }
 
 /**
- * @param connection - Where to ask.
- * @param req - What to ask.
- * @returns The body of a good answer, or why there is none.
+ * Sends a request and checks the status of the response.
+ *
+ * @param connection - Connection to the service.
+ * @param req - The request.
+ * @returns The response body, or an error if the call failed or the response
+ *     has an error status.
  */
 export async function callBytes(
   connection: StoreConnection,
@@ -99,30 +107,36 @@
 }
 
 /**
- * @param req - What was asked.
- * @param res - What came back.
- * @returns The body of a good answer, or why there is none.
+ * Converts a response with an error status to an error.
+ *
+ * @param req - The request.
+ * @param res - The response.
+ * @returns The response body, or an error if the status is 300 or above.
  */
 export function checkStatus(
   req: StoreRequest,
   res: StoreResponse,
 ): Outcome<Uint8Array, StoreError> {
   if (res.status < FIRST_ERROR_STATUS) return success(res.body);
-  return failure(readError(req, res));
+  return failure(toStoreError(req, res));
 }
 
-function readError(req: StoreRequest, res: StoreResponse): StoreError {
+function toStoreError(req: StoreRequest, res: StoreResponse): StoreError {
   const parsed = ERROR_SCHEMA.safeParse(parseJson(res.body));
   if (parsed.success) return parsed.data;
-  // What stands between us and the store may have answered in its place after
-  // it had passed the write on, so only a refusal of the request is certain.
+  // A response without the error body of the store may come from a proxy that
+  // had already forwarded the write. Only a status below 500 rejects the request
+  // itself and so shows that the write was not applied.
   const {status} = res;
   const message = `${req.method} ${req.path}: status ${status}`;
-  const certain = !req.writes || status < FIRST_SERVER_ERROR_STATUS;
-  return {kind: 'unavailable', applied: certain ? 'no' : 'unknown', message};
+  const notApplied = !req.writes || status < FIRST_SERVER_ERROR_STATUS;
+  return {kind: 'unavailable', applied: notApplied ? 'no' : 'unknown', message};
 }
 
-function malformed(req: StoreRequest, problem: string): StoreError {
+function toMalformedResponseError(
+  req: StoreRequest,
+  problem: string,
+): StoreError {
   return {
     kind: 'unavailable',
     applied: req.writes ? 'unknown' : 'no',
--- a/packages/stores/src/lib/process/commit_with_nonce.ts
+++ b/packages/stores/src/lib/process/commit_with_nonce.ts
@@ -1,16 +1,17 @@
 /**
- * A conditional write whose writer learns what became of it, also when the
- * answer of the store is lost.
+ * A conditional write that determines its outcome even if the response of the
+ * store is lost.
  *
- * Guards against: the store carries a write out, but its answer never arrives.
- * It shows as `unavailable` with `applied: 'unknown'`; a writer that repeats
- * the write then gets a conflict with itself and takes its own work for
- * another's, and a writer that gives up redoes what is done.
+ * If the store applies a write but its response is lost, the writer sees
+ * `unavailable` with `applied: 'unknown'`. A writer that then retries conflicts
+ * with its own write and mistakes it for that of another writer. A writer that
+ * gives up later repeats work that has already been done.
  *
- * Why it holds: the transaction always checks and writes one row, the marker.
- * So it takes effect at most once, however often it is sent and however late a
- * copy of it arrives: the first one changes the version that all others check.
- * The marker carries the nonce, so reading it back tells whether it was ours.
+ * The transaction always checks and writes one row, the marker. It therefore
+ * takes effect at most once, however often it is sent and however late a copy
+ * of it arrives: the first copy to be applied changes the version that all
+ * other copies check. The marker carries the nonce of the commit, so a read of
+ * the marker shows whether the commit took effect.
  */
 import {
   failure,
@@ -37,61 +38,82 @@
   Transaction,
 } from './table_store.js';
 
-/** What is to be written. */
+/** The transaction to commit. */
 export interface Commit {
   /**
-   * The row by which the writer knows its write. All writers of this row must
-   * go through {@link commitWithNonce}, and nobody may delete it while a
-   * commit that creates it (`base` undefined) can still be under way: a row
-   * that is gone looks like one that was never made. Mark it as ended instead.
+   * The row that identifies the commit. All writers of this row must use
+   * {@link commitWithNonce}. The row must not be deleted while a commit that
+   * creates it (`base` undefined) can still be in flight, because a deleted
+   * row cannot be told from one that was never created. Mark it as ended
+   * instead.
    */
   readonly marker: {
     readonly key: string;
-    /** The row as the decision to write saw it; undefined: it must not exist. */
+    /**
+     * The row as it was read when the write was decided on. If undefined, the
+     * row must not exist.
+     */
     readonly base: Row | undefined;
     readonly value: JsonObject;
   };
-  /** Further conditions. */
+  /** Additional conditions of the transaction. */
   readonly checks?: readonly RowCheck[];
-  /** Further writes, in the same transaction. Objects are stamped, too. */
+  /**
+   * Additional writes in the same transaction. Values that are JSON objects are
+   * stamped with the nonce as well.
+   */
   readonly writes?: readonly RowWrite[];
 }
 
-/** What became of a commit. */
+/** Outcome of a commit. */
 export type CommitOutcome =
   /**
-   * It took effect, once. `versions` holds the rows that are still as this
-   * commit wrote them; a row that another writer has changed since is missing.
+   * The commit took effect, exactly once. `versions` contains the rows that are
+   * still as this commit wrote them, without those that another writer has
+   * changed since.
    */
   | {
       readonly kind: 'committed';
       readonly nonce: string;
       readonly versions: Readonly<Record<string, number>>;
     }
-  /** It did not take effect and never will: a check cannot hold any more. */
+  /**
+   * The commit did not take effect and never will, because a check can no
+   * longer hold.
+   */
   | {readonly kind: 'conflict'; readonly key: string}
-  /** It did not take effect and never will: the store refused each attempt. */
+  /**
+   * The commit did not take effect and never will, because the store refused
+   * every attempt.
+   */
   | {readonly kind: 'unavailable'; readonly err: StoreError}
   /**
-   * It may have taken effect or, where a copy of it is still on its way, may
-   * yet do so. To settle it, read the marker and commit anew on top of what is
-   * there: of two commits with one base only one can take effect.
+   * The commit may have taken effect or, if a copy of it is still in flight,
+   * may yet do so. To resolve this, read the marker and commit again with the
+   * row read as base: of two commits with the same base, only one can take
+   * effect.
    */
   | {readonly kind: 'unknown'; readonly err: StoreError};
 
-/** How long a commit is tried. */
+/** Dependencies and retry policy of a commit. */
 export interface CommitOptions {
   readonly clock: Clock;
   readonly random: Random;
-  /** Unique for this commit; drawn from `random` by default. */
+  /** Unique id of this commit; generated from `random` by default. */
   readonly nonce?: string;
-  /** Times that the transaction is sent at the most. */
+  /** Maximum number of attempts to send the transaction. */
   readonly attempts?: number;
-  /** The pause after the first attempt, in milliseconds; doubled each time. */
+  /**
+   * Upper bound of the random backoff after the first attempt, in milliseconds.
+   * Doubles with each attempt.
+   */
   readonly firstDelayMs?: number;
-  /** The longest pause, in milliseconds. */
+  /**
+   * Maximum of the random backoff, in milliseconds. The delay that a throttling
+   * store asks for is added to it.
+   */
   readonly maxDelayMs?: number;
-  /** Ends the attempts early, as if they were used up. */
+  /** Stops retrying when aborted, as if all attempts had been used. */
   readonly signal?: AbortSignal;
 }
 
@@ -100,13 +122,13 @@
 const DEFAULT_MAX_DELAY_MS = 2000;
 
 /**
- * Commits a transaction, retries what is safe to retry and reads back what was
- * left open.
+ * Commits a transaction. Retries it with backoff and reads the marker back
+ * whenever the outcome of an attempt is unknown.
  *
- * @param table - Where to write.
- * @param commit - What to write.
- * @param options - Clock, randomness and bounds.
- * @returns What became of it.
+ * @param table - The table to write to.
+ * @param commit - The marker and the additional checks and writes.
+ * @param options - Clock, random source and retry policy.
+ * @returns The outcome. Store errors are returned, not thrown.
  */
 export async function commitWithNonce(
   table: TableStore,
@@ -117,19 +139,22 @@
   return new CommitAttempts(table, commit, nonce, options).run();
 }
 
-/** What the marker tells about a commit whose answer was lost. */
-type Landing =
+/** Status of a commit in doubt, as determined from its marker. */
+type CommitStatus =
   | {readonly kind: 'landed'; readonly versions: Record<string, number>}
-  /** The marker is still as the commit found it. */
+  /** The marker is unchanged: no copy of the commit has taken effect yet. */
   | {readonly kind: 'pending'}
-  /** Another write took its place behind the same base. */
+  /** Another write with the same base took effect first. */
   | {readonly kind: 'overtaken'}
-  /** Others have written too often since, or the row is gone. */
+  /**
+   * The nonce history of the marker no longer reaches back to the base, or the
+   * marker has been deleted.
+   */
   | {readonly kind: 'untraceable'};
 
 class CommitAttempts {
   private readonly transaction: Transaction;
-  /** A copy of the transaction may have taken effect, or may yet. */
+  /** Whether a copy of the transaction may have taken effect or may yet do so. */
   private inDoubt = false;
   private lastErr: StoreError = {
     kind: 'unavailable',
@@ -154,95 +179,100 @@
       const outcome = await this.attempt();
       if (outcome) return outcome;
     }
-    return this.giveUp();
+    return this.finish();
   }
 
-  /** @returns The outcome, or undefined when there is reason to go on. */
+  /** @returns The outcome, or undefined if the commit should be retried. */
   private async attempt(): Promise<CommitOutcome | undefined> {
     if (this.inDoubt) {
-      const landing = await this.readBack();
-      if (!landing.ok) return undefined;
-      const outcome = this.settle(landing.value);
+      const status = await this.readBack();
+      if (!status.ok) return undefined;
+      const outcome = this.toOutcome(status.value);
       if (outcome) return outcome;
     }
     const result = await this.table.write(this.transaction);
     if (result.ok) return this.committed(result.value.versions);
-    if (result.err.kind === 'conflict') return this.explain(result.err);
+    if (result.err.kind === 'conflict') return this.resolveConflict(result.err);
     this.lastErr = result.err;
     if (result.err.kind === 'unavailable')
       this.inDoubt ||= result.err.applied === 'unknown';
     return undefined;
   }
 
-  /** Tells a conflict with another writer from one with an own earlier copy. */
-  private async explain(
+  /**
+   * Distinguishes a conflict with another writer from one with an earlier copy
+   * of this commit.
+   */
+  private async resolveConflict(
     err: Extract<StoreError, {kind: 'conflict'}>,
   ): Promise<CommitOutcome | undefined> {
     const conflict = {kind: 'conflict', key: err.key} as const;
     if (!this.inDoubt) return conflict;
-    const landing = await this.readBack();
-    if (!landing.ok) return undefined;
-    // `pending` is for good here: the version that a check asked for is gone,
-    // and versions never come back. But a row that must not exist can be
-    // deleted again, and then a late copy of the transaction takes effect.
+    const status = await this.readBack();
+    if (!status.ok) return undefined;
+    // If the commit is still pending, the conflict is permanent when a check
+    // names a version, since versions are never reused. A check that a row does
+    // not exist can hold again once the row is deleted, and then a delayed copy
+    // of the transaction could take effect.
     const checked = this.transaction.checks.find(c => c.key === err.key);
-    const forGood = checked?.version !== 0 || this.isMarker(err.key);
+    const permanent = checked?.version !== 0 || this.isMarker(err.key);
     const unknown = {kind: 'unknown', err: this.lastErr} as const;
-    return this.settle(landing.value) ?? (forGood ? conflict : unknown);
+    return this.toOutcome(status.value) ?? (permanent ? conflict : unknown);
   }
 
   private isMarker(key: string): boolean {
     return key === this.commit.marker.key;
   }
 
-  private async giveUp(): Promise<CommitOutcome> {
+  private async finish(): Promise<CommitOutcome> {
     const err = this.lastErr;
     if (!this.inDoubt) return {kind: 'unavailable', err};
-    const landing = await this.readBack();
-    const outcome = landing.ok ? this.settle(landing.value) : undefined;
+    const status = await this.readBack();
+    const outcome = status.ok ? this.toOutcome(status.value) : undefined;
     return outcome ?? {kind: 'unknown', err};
   }
 
-  private settle(landing: Landing): CommitOutcome | undefined {
+  private toOutcome(status: CommitStatus): CommitOutcome | undefined {
     const {key} = this.commit.marker;
-    const versions = landing.kind === 'landed' ? landing.versions : {};
+    const versions = status.kind === 'landed' ? status.versions : {};
     const outcomes = {
       landed: () => this.committed(versions),
       pending: () => undefined,
       overtaken: () => ({kind: 'conflict', key}) as const,
       untraceable: () => ({kind: 'unknown', err: this.lastErr}) as const,
     };
-    return outcomes[landing.kind]();
+    return outcomes[status.kind]();
   }
 
   private committed(versions: Readonly<Record<string, number>>): CommitOutcome {
     return {kind: 'committed', nonce: this.nonce, versions};
   }
 
-  private async readBack(): Promise<Outcome<Landing, StoreError>> {
+  private async readBack(): Promise<Outcome<CommitStatus, StoreError>> {
     const keys = this.transaction.writes.map(write => write.key);
     const result = await this.table.read(keys);
     if (!result.ok) return failure(result.err);
     const rows = result.value;
     const marker = rows.find(row => row && this.isMarker(row.key));
-    return success(this.judge(marker, rows));
+    return success(this.classify(marker, rows));
   }
 
-  private judge(
+  private classify(
     marker: Row | undefined,
     rows: readonly (Row | undefined)[],
-  ): Landing {
+  ): CommitStatus {
     const {base} = this.commit.marker;
     const nonces = noncesOf(marker);
     if (nonces.includes(this.nonce))
       return {kind: 'landed', versions: this.ownVersions(rows)};
     if (marker?.version === base?.version) return {kind: 'pending'};
-    // The history reaches back to the base, and what follows it is not ours.
+    // If the nonce history reaches back to the base, it contains every write
+    // since, and none of them is this commit.
     const [baseNonce] = noncesOf(base);
-    const whole = baseNonce
+    const historyReachesBase = baseNonce
       ? nonces.includes(baseNonce)
       : nonces.length > 0 && nonces.length < NONCE_HISTORY;
-    if (whole) return {kind: 'overtaken'};
+    if (historyReachesBase) return {kind: 'overtaken'};
     return {kind: 'untraceable'};
   }
 
@@ -253,33 +283,39 @@
     return Object.fromEntries(own.map(row => [row!.key, row!.version]));
   }
 
-  /** Waits longer each time, with jitter, so that writers do not keep step. */
+  /**
+   * Waits with exponential backoff and jitter, so that concurrent writers do not
+   * retry in lockstep.
+   */
   private async pause(attempt: number): Promise<void> {
     const {clock, random, signal} = this.options;
     const {firstDelayMs = DEFAULT_FIRST_DELAY_MS} = this.options;
     const {maxDelayMs = DEFAULT_MAX_DELAY_MS} = this.options;
-    const longest = Math.min(maxDelayMs, firstDelayMs * 2 ** (attempt - 1));
-    const asked =
+    const maxJitterMs = Math.min(maxDelayMs, firstDelayMs * 2 ** (attempt - 1));
+    const retryAfterMs =
       this.lastErr.kind === 'throttled' ? this.lastErr.retryAfterMs : 0;
-    await sleep(clock, asked + random.float() * longest, signal);
+    await sleep(clock, retryAfterMs + random.float() * maxJitterMs, signal);
   }
 }
 
 function toTransaction(commit: Commit, nonce: string): Transaction {
   const {key, base, value} = commit.marker;
   const others = commit.writes ?? [];
-  invariant(!others.some(w => w.key === key), `${key} is written twice`);
+  invariant(
+    !others.some(w => w.key === key),
+    `the transaction writes the marker ${key} more than once`,
+  );
   const marker = stampNonce(value, nonce, base);
   return {
     checks: [{key, version: base?.version ?? 0}, ...(commit.checks ?? [])],
     writes: [
       {kind: 'put', key, value: marker},
-      ...others.map(write => stamp(write, nonce)),
+      ...others.map(write => stampWrite(write, nonce)),
     ],
   };
 }
 
-function stamp(write: RowWrite, nonce: string): RowWrite {
+function stampWrite(write: RowWrite, nonce: string): RowWrite {
   if (write.kind !== 'put' || !isJsonObject(write.value)) return write;
   return {...write, value: stampNonce(write.value, nonce)};
 }
--- a/packages/stores/src/lib/process/host_list.ts
+++ b/packages/stores/src/lib/process/host_list.ts
@@ -1,18 +1,21 @@
-/** The platform's list of hosts. It lags: a host may be gone, or there, for longer than it says. */
+/**
+ * The platform's list of hosts. It is eventually consistent: a host may have
+ * started or stopped some time before the list shows it.
+ */
 import type {Outcome} from '@oathead/core';
 import type {StoreError} from './table_store.js';
 
-/** One host of the list. */
+/** An entry of the host list. */
 export interface Host {
   readonly id: string;
   readonly role: 'entry' | 'target';
-  /** Host and port, by IP number. */
+  /** IP address and port. */
   readonly address: string;
   readonly dataCentre: string;
   readonly state: 'live' | 'leaving';
 }
 
-/** The host list. */
+/** Reads the host list. */
 export interface HostList {
   hosts(): Promise<Outcome<readonly Host[], StoreError>>;
 }
--- a/packages/stores/src/lib/process/http_platform.ts
+++ b/packages/stores/src/lib/process/http_platform.ts
@@ -1,4 +1,4 @@
-/** The platform over HTTP. */
+/** HTTP client of the platform. */
 import type {Clock} from '@oathead/core';
 import {
   DEFAULT_STORE_CONNECTION,
@@ -11,11 +11,11 @@
 import {HttpWeights} from './http_weights.js';
 import type {Platform} from './platform.js';
 
-/** How the platform is reached: where, and what differs from the defaults. */
+/** Base URLs, and options that override {@link DEFAULT_STORE_CONNECTION}. */
 export type HttpPlatformOptions = Pick<StoreConnectionOptions, 'baseUrls'> &
   Partial<StoreConnectionOptions>;
 
-/** The four services behind the same base URLs. */
+/** The four services of the platform, which share a connection pool. */
 export class HttpPlatform implements Platform, AsyncDisposable {
   readonly table: HttpTable;
   readonly objects: HttpObjects;
@@ -24,19 +24,19 @@
   private readonly connection: StoreConnection;
 
   /**
-   * @param clock - Time for timeouts.
-   * @param options - Where and how to connect.
+   * @param clock - Clock for timeouts.
+   * @param options - Base URLs and connection options.
    */
   constructor(clock: Clock, options: HttpPlatformOptions) {
-    const whole = {...DEFAULT_STORE_CONNECTION, ...options};
-    this.connection = new StoreConnection(clock, whole);
+    const connectionOptions = {...DEFAULT_STORE_CONNECTION, ...options};
+    this.connection = new StoreConnection(clock, connectionOptions);
     this.table = new HttpTable(this.connection);
     this.objects = new HttpObjects(this.connection);
     this.weights = new HttpWeights(this.connection);
     this.hosts = new HttpHosts(this.connection);
   }
 
-  /** Waits for calls under way, then closes the connections. */
+  /** Waits for calls in flight, then closes the connections. */
   async [Symbol.asyncDispose](): Promise<void> {
     await this.connection[Symbol.asyncDispose]();
   }
--- a/packages/stores/src/lib/process/http_table.ts
+++ b/packages/stores/src/lib/process/http_table.ts
@@ -1,11 +1,11 @@
-/** The table service over HTTP. */
+/** HTTP client of the table service. */
 import {success, type Outcome} from '@oathead/core';
 import {
   callJson,
   COMMITTED_SCHEMA,
   LIST_SCHEMA,
   READ_SCHEMA,
-} from '../connection/store_answers.js';
+} from '../connection/store_responses.js';
 import type {StoreConnection} from '../connection/store_connection.js';
 import type {
   Committed,
@@ -16,18 +16,18 @@
   Transaction,
 } from './table_store.js';
 
-/** A table at the other end of a connection. */
+/** A {@link TableStore} that is accessed over HTTP. */
 export class HttpTable implements TableStore {
-  /** @param connection - Where the table is. */
+  /** @param connection - Connection to the platform. */
   constructor(private readonly connection: StoreConnection) {}
 
   async read(
     keys: readonly string[],
   ): Promise<Outcome<readonly (Row | undefined)[], StoreError>> {
     const req = post('/v1/table/read', {keys}, false);
-    const answer = await callJson(this.connection, req, READ_SCHEMA);
-    if (!answer.ok) return answer;
-    return success(answer.value.rows.map(row => row ?? undefined));
+    const result = await callJson(this.connection, req, READ_SCHEMA);
+    if (!result.ok) return result;
+    return success(result.value.rows.map(row => row ?? undefined));
   }
 
   async list(
@@ -35,8 +35,8 @@
     options: ListOptions = {},
   ): Promise<Outcome<readonly Row[], StoreError>> {
     const req = post('/v1/table/list', {prefix, ...options}, false);
-    const answer = await callJson(this.connection, req, LIST_SCHEMA);
-    return answer.ok ? success(answer.value.rows) : answer;
+    const result = await callJson(this.connection, req, LIST_SCHEMA);
+    return result.ok ? success(result.value.rows) : result;
   }
 
   write(transaction: Transaction): Promise<Outcome<Committed, StoreError>> {
--- a/packages/stores/src/lib/process/http_weights.ts
+++ b/packages/stores/src/lib/process/http_weights.ts
@@ -1,31 +1,35 @@
-/** The weight store over HTTP. */
+/** HTTP client of the weight store. */
 import {success, type Outcome} from '@oathead/core';
 import {
   callJson,
-  LOADS_SCHEMA,
+  CONCURRENT_LOADS_SCHEMA,
   WEIGHT_SCHEMA,
-} from '../connection/store_answers.js';
+} from '../connection/store_responses.js';
 import type {StoreConnection} from '../connection/store_connection.js';
 import type {StoreError} from './table_store.js';
 import type {WeightInfo, WeightStore} from './weight_store.js';
 
-/** A weight store at the other end of a connection. */
+/** A {@link WeightStore} that is accessed over HTTP. */
 export class HttpWeights implements WeightStore {
-  /** @param connection - Where the store is. */
+  /** @param connection - Connection to the platform. */
   constructor(private readonly connection: StoreConnection) {}
 
   async describe(
     name: string,
   ): Promise<Outcome<WeightInfo | undefined, StoreError>> {
     const req = get(`/v1/weights/${encodeURIComponent(name)}`);
-    const answer = await callJson(this.connection, req, WEIGHT_SCHEMA);
-    return answer.ok ? success(answer.value.weight ?? undefined) : answer;
+    const result = await callJson(this.connection, req, WEIGHT_SCHEMA);
+    return result.ok ? success(result.value.weight ?? undefined) : result;
   }
 
   async concurrentLoads(): Promise<Outcome<number, StoreError>> {
     const req = get('/v1/weights');
-    const answer = await callJson(this.connection, req, LOADS_SCHEMA);
-    return answer.ok ? success(answer.value.concurrentLoads) : answer;
+    const result = await callJson(
+      this.connection,
+      req,
+      CONCURRENT_LOADS_SCHEMA,
+    );
+    return result.ok ? success(result.value.concurrentLoads) : result;
   }
 }
 
--- a/packages/stores/src/lib/process/memory_objects.ts
+++ b/packages/stores/src/lib/process/memory_objects.ts
@@ -1,9 +1,9 @@
-/** The object store in memory. */
+/** In-memory object store. */
 import {success, type Outcome} from '@oathead/core';
 import type {ObjectStore} from './object_store.js';
 import type {StoreError} from './table_store.js';
 
-/** Objects that live as long as this one. */
+/** An {@link ObjectStore} without persistence. Stores copies of the bytes. */
 export class MemoryObjects implements ObjectStore {
   private readonly objects = new Map<string, Uint8Array>();
 
--- a/packages/stores/src/lib/process/memory_row_store.ts
+++ b/packages/stores/src/lib/process/memory_row_store.ts
@@ -1,4 +1,4 @@
-/** A row store in memory, for tests and stand-ins. */
+/** In-memory row store, for tests and stand-ins. */
 import {failure, success, sleep, type Clock} from '@oathead/core';
 import type {
   RowChange,
@@ -13,26 +13,29 @@
   VersionedRow,
 } from './row_store.js';
 
-/** Rows of a page at the most, as of the real store. */
+/** Maximum number of rows of a page, as in the real store. */
 const MAX_PAGE_ROWS = 500;
-/** How often a wait for changes looks, in milliseconds. */
-const LOOK_MS = 5;
+/** Interval at which a wait for changes polls, in milliseconds. */
+const POLL_INTERVAL_MS = 5;
 
-/** Keeps rows, their history and objects. */
+/** A {@link RowStore} without persistence. */
 export class MemoryRowStore implements RowStore {
   private readonly rows = new Map<string, VersionedRow>();
   private readonly objects = new Map<string, Uint8Array>();
   private history: RowChange[] = [];
-  private historyFrom = 0;
+  private historyStart = 0;
   private version = 0;
 
-  /** @param clock - The store's steady clock. */
+  /** @param clock - The monotonic clock of the store. */
   constructor(private readonly clock: Clock) {}
 
-  /** Forgets which changes led to what is there now. */
+  /**
+   * Discards the change history but keeps the rows, so that feeds that start
+   * from an earlier version fail with `history-lost`.
+   */
   loseHistory(): void {
     this.history = [];
-    this.historyFrom = this.version;
+    this.historyStart = this.version;
   }
 
   /** {@inheritDoc RowStore.storeTimeMs} */
@@ -43,17 +46,17 @@
   /** {@inheritDoc RowStore.transact} */
   async transact(transaction: RowTransaction): RowStoreOutcome<StoreMoment> {
     const {expect, puts, removes} = transaction;
-    const holds = expect.every(
-      ref => (this.rows.get(nameOf(ref))?.version ?? 0) === ref.version,
+    const allMatch = expect.every(
+      ref => (this.rows.get(rowId(ref))?.version ?? 0) === ref.version,
     );
-    if (!holds) {
-      const rows = expect.flatMap(ref => this.rows.get(nameOf(ref)) ?? []);
+    if (!allMatch) {
+      const rows = expect.flatMap(ref => this.rows.get(rowId(ref)) ?? []);
       return failure({kind: 'conflict', rows});
     }
     this.version++;
     for (const put of puts) this.put(put, put.value);
     for (const ref of removes) this.remove(ref);
-    return success(this.moment());
+    return success(this.timestamp());
   }
 
   /** {@inheritDoc RowStore.read} */
@@ -65,7 +68,7 @@
       .sort((a, b) => (a.key < b.key ? -1 : 1));
     const rows = matching.slice(0, Math.min(limit, MAX_PAGE_ROWS));
     const hasMore = rows.length < matching.length;
-    return success({...this.moment(), rows, hasMore});
+    return success({...this.timestamp(), rows, hasMore});
   }
 
   /** {@inheritDoc RowStore.changes} */
@@ -75,14 +78,14 @@
     waitMs: number,
   ): RowStoreOutcome<RowChanges> {
     const until = this.clock.now() + waitMs;
-    let looked = after;
+    let checkedVersion = after;
     for (;;) {
-      if (after < this.historyFrom) return failure({kind: 'history-lost'});
-      const changes = this.changesOf(table, looked);
+      if (after < this.historyStart) return failure({kind: 'history-lost'});
+      const changes = this.changesOf(table, checkedVersion);
       if (changes.length > 0 || this.clock.now() >= until)
-        return success({...this.moment(), changes});
-      looked = this.version;
-      await sleep(this.clock, LOOK_MS);
+        return success({...this.timestamp(), changes});
+      checkedVersion = this.version;
+      await sleep(this.clock, POLL_INTERVAL_MS);
     }
   }
 
@@ -104,7 +107,10 @@
     return success(undefined);
   }
 
-  /** Looks from the end: the history is long, and what is new is short. */
+  /**
+   * Searches backwards from the end, since the history is long and few of its
+   * changes are newer than `after`.
+   */
   private changesOf(table: string, after: number): readonly RowChange[] {
     const changes: RowChange[] = [];
     for (let i = this.history.length - 1; i >= 0; i--) {
@@ -115,25 +121,25 @@
     return changes.reverse();
   }
 
-  private moment(): StoreMoment {
+  private timestamp(): StoreMoment {
     return {version: this.version, storeTimeMs: this.storeTimeMs()};
   }
 
   private put(ref: RowRef, value: Uint8Array): void {
     const {table, partition, key} = ref;
     const row = {table, partition, key, value, version: this.version};
-    this.rows.set(nameOf(ref), row);
+    this.rows.set(rowId(ref), row);
     this.history.push({kind: 'put', row});
   }
 
   private remove(ref: RowRef): void {
-    if (!this.rows.delete(nameOf(ref))) return;
+    if (!this.rows.delete(rowId(ref))) return;
     const {version} = this;
     this.history.push({kind: 'removed', ref, version});
   }
 }
 
-function nameOf({table, partition, key}: RowRef): string {
+function rowId({table, partition, key}: RowRef): string {
   return JSON.stringify([table, partition, key]);
 }
 
--- a/packages/stores/src/lib/process/memory_table.ts
+++ b/packages/stores/src/lib/process/memory_table.ts
@@ -1,4 +1,4 @@
-/** The table service in memory, for tests and for a system in one process. */
+/** In-memory table service, for tests and single-process systems. */
 import {failure, success, type Outcome} from '@oathead/core';
 import {
   MAX_LIST_LIMIT,
@@ -12,11 +12,14 @@
   type Transaction,
 } from './table_store.js';
 
-/** A table whose rows live as long as the object. */
+/** A {@link TableStore} without persistence. */
 export class MemoryTable implements TableStore {
   private readonly rows = new Map<string, Row>();
   private readonly sortedKeys: string[] = [];
-  /** One counter for all rows, so that a row made anew has a new version. */
+  /**
+   * Version counter shared by all rows, so that a row that is deleted and
+   * created again does not reuse a version.
+   */
   private lastVersion = 0;
 
   async read(
@@ -30,7 +33,7 @@
     options: ListOptions = {},
   ): Promise<Outcome<readonly Row[], StoreError>> {
     const {after = '', limit = MAX_LIST_LIMIT} = options;
-    const start = this.indexOf(after > prefix ? after : prefix);
+    const start = this.lowerBound(after > prefix ? after : prefix);
     const page: Row[] = [];
     for (let i = start; i < this.sortedKeys.length; i++) {
       const key = this.sortedKeys[i]!;
@@ -41,7 +44,7 @@
     return success(page);
   }
 
-  // All of it happens in one turn of the event loop: nobody sees a part.
+  // Runs without awaiting, so no other call observes a partial transaction.
   async write(
     transaction: Transaction,
   ): Promise<Outcome<Committed, StoreError>> {
@@ -62,18 +65,19 @@
       delete versions[key];
       return;
     }
-    if (!this.rows.has(key)) this.sortedKeys.splice(this.indexOf(key), 0, key);
+    if (!this.rows.has(key))
+      this.sortedKeys.splice(this.lowerBound(key), 0, key);
     const version = ++this.lastVersion;
-    this.rows.set(key, {key, value: copy(write.value), version});
+    this.rows.set(key, {key, value: deepCopy(write.value), version});
     versions[key] = version;
   }
 
   private remove(key: string): void {
-    if (this.rows.delete(key)) this.sortedKeys.splice(this.indexOf(key), 1);
+    if (this.rows.delete(key)) this.sortedKeys.splice(this.lowerBound(key), 1);
   }
 
-  /** Where the first key is that does not come before `key`. */
-  private indexOf(key: string): number {
+  /** Returns the index of the first key that is not less than `key`. */
+  private lowerBound(key: string): number {
     let low = 0;
     let high = this.sortedKeys.length;
     while (low < high) {
@@ -85,7 +89,10 @@
   }
 }
 
-/** As a store would: what the caller changes later is not written. */
-function copy(value: Json): Json {
+/**
+ * Copies a value, as serialization in a real store does, so that later changes
+ * by the caller do not affect the stored row.
+ */
+function deepCopy(value: Json): Json {
   return JSON.parse(JSON.stringify(value)) as Json;
 }
--- a/packages/stores/src/lib/process/memory_weights.ts
+++ b/packages/stores/src/lib/process/memory_weights.ts
@@ -1,21 +1,21 @@
-/** The weight store in memory: only what it tells, no weights. */
+/** In-memory weight store that holds only metadata, no weights. */
 import {success, type Outcome} from '@oathead/core';
 import type {StoreError} from './table_store.js';
 import type {WeightInfo, WeightStore} from './weight_store.js';
 
 const DEFAULT_CONCURRENT_LOADS = 4;
 
-/** A list of weights. */
+/** A {@link WeightStore} with fixed contents. */
 export class MemoryWeights implements WeightStore {
   private readonly infos: ReadonlyMap<string, WeightInfo>;
 
   /**
-   * @param weights - What is stored.
-   * @param loads - Loads that the store can bear at once.
+   * @param weights - Metadata of the stored weights.
+   * @param maxConcurrentLoads - Number of concurrent loads that the store allows.
    */
   constructor(
     weights: readonly WeightInfo[] = [],
-    private readonly loads: number = DEFAULT_CONCURRENT_LOADS,
+    private readonly maxConcurrentLoads: number = DEFAULT_CONCURRENT_LOADS,
   ) {
     this.infos = new Map(weights.map(info => [info.name, info]));
   }
@@ -27,6 +27,6 @@
   }
 
   async concurrentLoads(): Promise<Outcome<number, StoreError>> {
-    return success(this.loads);
+    return success(this.maxConcurrentLoads);
   }
 }
--- a/packages/stores/src/lib/process/nonces.ts
+++ b/packages/stores/src/lib/process/nonces.ts
@@ -1,26 +1,30 @@
 /**
- * Nonces in rows: how a writer knows its own write.
+ * Nonces in rows, by which a writer recognizes its own writes.
  *
- * Each stamped row carries the nonce of the write that made it and, behind it,
- * the nonces of the writes before. So a writer sees its own write even after
- * others have written over it, for as many writes as the history is long.
+ * Each stamped row carries the nonce of its latest write, followed by the nonces
+ * of the previous writes. A writer can therefore recognize its write even after
+ * other writers have overwritten the row, up to the length of the history
+ * ({@link NONCE_HISTORY}).
  */
 import type {Json, Row} from './table_store.js';
 
-/** A value that can carry nonces. */
+/** A JSON object, which is a value that can carry nonces. */
 export type JsonObject = {readonly [key: string]: Json | undefined};
 
 /** The field of a row that holds its nonces, newest first. */
 export const NONCES_FIELD = 'nonces';
 
-/** How many writes of a row can be told apart. */
+/** Maximum number of nonces in a row, including that of the latest write. */
 export const NONCE_HISTORY = 8;
 
 /**
- * @param value - What to write.
- * @param nonce - Unique for this write.
- * @param base - The row as it was read, or undefined where there was none.
- * @returns The value with its nonces.
+ * Adds a nonce to a value.
+ *
+ * @param value - The value to write.
+ * @param nonce - Unique id of the write.
+ * @param base - The row that the write replaces, whose nonces are carried over;
+ *     undefined if there is none.
+ * @returns A copy of the value with the nonce and those of the base.
  */
 export function stampNonce(
   value: JsonObject,
@@ -32,8 +36,8 @@
 }
 
 /**
- * @param row - A row, or undefined where there is none.
- * @returns Its nonces, newest first; none when it was never stamped.
+ * @param row - A row, or undefined if it does not exist.
+ * @returns The nonces of the row, newest first; empty if it was never stamped.
  */
 export function noncesOf(row: Row | undefined): readonly string[] {
   if (!row || !isJsonObject(row.value)) return [];
@@ -43,8 +47,8 @@
 }
 
 /**
- * @param value - Any value of a row.
- * @returns Whether it can carry nonces.
+ * @param value - The value of a row.
+ * @returns Whether the value is an object, so that it can carry nonces.
  */
 export function isJsonObject(value: Json): value is JsonObject {
   return typeof value === 'object' && value !== null && !Array.isArray(value);
--- a/packages/stores/src/lib/process/object_store.ts
+++ b/packages/stores/src/lib/process/object_store.ts
@@ -1,13 +1,13 @@
-/** The platform's object store: whole values by key, for what is too large for rows. */
+/** The platform's object store, for values that are too large for table rows. */
 import type {Outcome} from '@oathead/core';
 import type {StoreError} from './table_store.js';
 
-/** The object store. */
+/** Stores whole objects by key. */
 export interface ObjectStore {
-  /** Writes a whole object; writing the same bytes again changes nothing. */
+  /** Writes a whole object. Idempotent for the same bytes. */
   put(key: string, bytes: Uint8Array): Promise<Outcome<void, StoreError>>;
-  /** @returns The object, or undefined where there is none. */
+  /** @returns The bytes of the object, or undefined if it does not exist. */
   get(key: string): Promise<Outcome<Uint8Array | undefined, StoreError>>;
-  /** Deleting what is not there changes nothing. */
+  /** Deletes an object. Succeeds if it does not exist. */
   delete(key: string): Promise<Outcome<void, StoreError>>;
 }
--- a/packages/stores/src/lib/process/platform.ts
+++ b/packages/stores/src/lib/process/platform.ts
@@ -1,10 +1,10 @@
-/** The platform's four services together. */
+/** The services that the system uses from its platform. */
 import type {HostList} from './host_list.js';
 import type {ObjectStore} from './object_store.js';
 import type {TableStore} from './table_store.js';
 import type {WeightStore} from './weight_store.js';
 
-/** What the platform gives. */
+/** The four services of the platform. */
 export interface Platform {
   readonly table: TableStore;
   readonly objects: ObjectStore;
--- a/packages/stores/src/lib/process/relayed_row_store.ts
+++ b/packages/stores/src/lib/process/relayed_row_store.ts
@@ -1,14 +1,15 @@
 /**
- * A store that is reached through other hosts while it turns this host away.
+ * A row store client that relays calls through other hosts while this host
+ * cannot reach the store directly.
  *
- * Guards against a store that serves some hosts and not others, or a cut
- * between one host and the store: it shows as refusals and timeouts here while
- * others are served, and without a way round a host would lose its lease, the
- * results of its batch items, and changes of the configuration.
+ * The store may serve some hosts but not others, or the network between one host
+ * and the store may be partitioned. The host then sees refusals and timeouts
+ * while other hosts are served. Without relays it would lose its lease, the
+ * results of its batch items, and configuration changes.
  *
- * Why it holds: a write that is sent both ways takes effect once, since each
- * write expects versions of rows or says the same whenever it is done; and a
- * host relays by its own way to the store only, so no call goes in circles.
+ * A write that is sent both directly and through a relay takes effect once,
+ * because each write either expects row versions or is idempotent. A host relays
+ * only over its direct connection to the store, so calls cannot loop.
  */
 import {
   failure,
@@ -30,74 +31,84 @@
   StoreMoment,
 } from './row_store.js';
 
-/** Another host, which passes calls on to the store. */
+/** Another host that forwards calls to the store. */
 export type RowStoreRelay = Pick<RowStore, 'transact' | 'read' | 'changes'>;
 
-/** What a {@link RelayedRowStore} needs. */
+/** Dependencies of a {@link RelayedRowStore}. */
 export interface RelayContext {
   readonly clock: Clock;
   readonly random: Random;
   readonly log: EventLog;
   readonly counters: Counters;
-  /** The hosts that can be asked now. */
+  /** Returns the hosts that are currently available as relays. */
   readonly relays: () => readonly RowStoreRelay[];
-  /** A row of it is read to see whether the own way works again. */
+  /** Where a row is read to probe whether the store is directly reachable. */
   readonly probe: Pick<RowQuery, 'table' | 'partition'>;
 }
 
-/** How often the own way is tried while calls go to relays, in milliseconds. The
- * try is a read of its own, so that no call waits for a store that is silent. */
-const PROBE_MS = 1000;
-/** After a relay failed, too, none is asked for so long, in milliseconds: the
- * store is down for all, and calls it refuses have a price. */
-const RELAY_PAUSE_MS = 400;
-/** Relays that are asked for one call at the most, one after another: those that
- * have no way either say so at once. */
-const RELAY_TRIES = 3;
-const NO_OWN_WAY: RowStoreError = {
+/**
+ * Interval of probes of the direct connection while calls are relayed, in
+ * milliseconds. A probe is a separate read, so that no call has to wait for a
+ * store that is unresponsive.
+ */
+const PROBE_INTERVAL_MS = 1000;
+/**
+ * Time for which no relay is used after relaying has failed as well, in
+ * milliseconds. The store is then assumed to be down for all hosts, and calls
+ * that it refuses still have a cost.
+ */
+const RELAY_BACKOFF_MS = 400;
+/**
+ * Maximum number of relays that are tried in sequence for one call. A relay that
+ * has no direct connection to the store refuses at once, so the next one is
+ * tried without waiting for a timeout.
+ */
+const MAX_RELAY_ATTEMPTS = 3;
+const NO_DIRECT_ACCESS: RowStoreError = {
   kind: 'refused',
   message: 'this host has no way to the store of its own',
 };
 
 type Call<T> = (store: RowStoreRelay) => RowStoreOutcome<T>;
 
-/** Asks the store, and if it can't be asked, a relay. */
+/** Calls the store directly and falls back to relays if it is unreachable. */
 export class RelayedRowStore implements RowStore {
-  private noRelayUntil = -Infinity;
+  private relayBackoffUntil = -Infinity;
   private relaying = false;
-  private answeredAt = -Infinity;
+  private lastResponseAt = -Infinity;
   private newest = 0;
-  /** Who answered last. */
-  private lastRelay: RowStoreRelay | undefined;
+  /** The relay that last succeeded; tried first. */
+  private lastSuccessfulRelay: RowStoreRelay | undefined;
 
   /**
-   * What other hosts may use: the own way to the store, while there is one.
-   *
-   * Guards against a call that goes from one cut off host to another and waits for
+   * The relay that this host offers to other hosts. It uses the direct
+   * connection and refuses calls while this host itself depends on relays.
+   * Otherwise a call could go from one partitioned host to another and wait for
    * the timeouts of both.
    */
   readonly forPeers: RowStoreRelay = {
-    transact: transaction => this.ownWay(store => store.transact(transaction)),
-    read: query => this.ownWay(store => store.read(query)),
+    transact: transaction =>
+      this.callDirect(store => store.transact(transaction)),
+    read: query => this.callDirect(store => store.read(query)),
     changes: (table, after, waitMs) =>
-      this.ownWay(store => store.changes(table, after, waitMs)),
+      this.callDirect(store => store.changes(table, after, waitMs)),
   };
 
   /**
-   * @param direct - The own way to the store.
-   * @param context - Relays, and where events go.
+   * @param direct - Client with a direct connection to the store.
+   * @param context - Relays, clock, log and counters.
    */
   constructor(
     private readonly direct: RowStore,
     private readonly context: RelayContext,
   ) {}
 
-  /** Milliseconds since the store last answered, by whichever way. */
+  /** Milliseconds since the store last responded, directly or by relay. */
   get sinceAnswerMs(): number {
-    return this.context.clock.now() - this.answeredAt;
+    return this.context.clock.now() - this.lastResponseAt;
   }
 
-  /** The newest version that any answer has shown. */
+  /** The highest version seen in any response. */
   get newestVersion(): number {
     return this.newest;
   }
@@ -142,102 +153,115 @@
   }
 
   private async call<T extends StoreMoment>(call: Call<T>): RowStoreOutcome<T> {
-    const outcome = await this.eitherWay(call);
-    if (!isAway(outcome)) this.answeredAt = this.context.clock.now();
+    const outcome = await this.callDirectOrRelayed(call);
+    if (!isUnreachable(outcome)) this.lastResponseAt = this.context.clock.now();
     if (outcome.ok) this.newest = Math.max(this.newest, outcome.value.version);
     return outcome;
   }
 
-  private async eitherWay<T>(call: Call<T>): RowStoreOutcome<T> {
+  private async callDirectOrRelayed<T>(call: Call<T>): RowStoreOutcome<T> {
     if (this.relaying) {
       const relayed = await this.relay(call);
-      if (relayed && !isAway(relayed)) return relayed;
-      return merged(relayed, await call(this.direct));
+      if (relayed && !isUnreachable(relayed)) return relayed;
+      return mergeOutcomes(relayed, await call(this.direct));
     }
     const direct = await call(this.direct);
-    if (!isAway(direct)) return direct;
+    if (!isUnreachable(direct)) return direct;
     const relayed = await this.relay(call);
-    if (!relayed || isAway(relayed)) return merged(relayed, direct);
-    this.beginRelaying();
-    return merged(direct, relayed);
+    if (!relayed || isUnreachable(relayed))
+      return mergeOutcomes(relayed, direct);
+    this.startRelaying();
+    return mergeOutcomes(direct, relayed);
   }
 
   private async relay<T>(
     call: Call<T>,
   ): Promise<Outcome<T, RowStoreError> | undefined> {
     const {clock, relays} = this.context;
-    if (clock.now() < this.noRelayUntil) return undefined;
+    if (clock.now() < this.relayBackoffUntil) return undefined;
     const hosts = [...relays()];
     let relayed: Outcome<T, RowStoreError> | undefined;
-    for (let tries = 0; tries < RELAY_TRIES && hosts.length > 0; tries++) {
-      relayed = await this.relayBy(this.takeRelay(hosts), call);
+    for (
+      let attempt = 0;
+      attempt < MAX_RELAY_ATTEMPTS && hosts.length > 0;
+      attempt++
+    ) {
+      relayed = await this.relayThrough(this.takeRelay(hosts), call);
       if (!wasRefused(relayed)) break;
     }
-    if (relayed && isAway(relayed))
-      this.noRelayUntil = clock.now() + RELAY_PAUSE_MS;
+    if (relayed && isUnreachable(relayed))
+      this.relayBackoffUntil = clock.now() + RELAY_BACKOFF_MS;
     return relayed;
   }
 
-  private async relayBy<T>(
+  private async relayThrough<T>(
     host: RowStoreRelay,
     call: Call<T>,
   ): RowStoreOutcome<T> {
     const relayed = await call(host);
-    const away = isAway(relayed);
+    const unreachable = isUnreachable(relayed);
     this.context.counters.count('store_relays', {
-      outcome: away ? 'failed' : 'done',
+      outcome: unreachable ? 'failed' : 'done',
     });
-    this.lastRelay = away ? undefined : host;
+    this.lastSuccessfulRelay = unreachable ? undefined : host;
     return relayed;
   }
 
-  /** Takes one out of the list: who answered last, or any. */
+  /**
+   * Removes a relay from the list and returns it: the one that last succeeded,
+   * or else a random one.
+   */
   private takeRelay(hosts: RowStoreRelay[]): RowStoreRelay {
-    const last = this.lastRelay ? hosts.indexOf(this.lastRelay) : -1;
+    const last = this.lastSuccessfulRelay
+      ? hosts.indexOf(this.lastSuccessfulRelay)
+      : -1;
     const at = last >= 0 ? last : this.context.random.int(hosts.length);
     return hosts.splice(at, 1)[0]!;
   }
 
-  private async ownWay<T>(call: Call<T>): RowStoreOutcome<T> {
-    return this.relaying ? failure(NO_OWN_WAY) : call(this.direct);
+  private async callDirect<T>(call: Call<T>): RowStoreOutcome<T> {
+    return this.relaying ? failure(NO_DIRECT_ACCESS) : call(this.direct);
   }
 
-  private beginRelaying(): void {
+  private startRelaying(): void {
     if (this.relaying) return;
     this.relaying = true;
     this.context.log.event('store-relayed');
-    void this.probe();
+    void this.probeDirect();
   }
 
-  private async probe(): Promise<void> {
+  private async probeDirect(): Promise<void> {
     while (this.relaying) {
-      await sleep(this.context.clock, PROBE_MS);
+      await sleep(this.context.clock, PROBE_INTERVAL_MS);
       const {table, partition} = this.context.probe;
       const read = await this.direct.read({table, partition, limit: 1});
-      if (!isAway(read)) this.relaying = false;
+      if (!isUnreachable(read)) this.relaying = false;
     }
     this.context.log.event('store-direct');
   }
 }
 
-/** Whether it said at once that it did nothing. */
+/** Whether the call was refused and so had no effect. */
 function wasRefused<T>(outcome: Outcome<T, RowStoreError>): boolean {
   return !outcome.ok && outcome.err.kind === 'refused';
 }
 
-/** Whether the store could not be asked. */
-function isAway<T>(outcome: Outcome<T, RowStoreError>): boolean {
+/** Whether the call was refused or received no response. */
+function isUnreachable<T>(outcome: Outcome<T, RowStoreError>): boolean {
   if (outcome.ok) return false;
   return outcome.err.kind === 'refused' || outcome.err.kind === 'unknown';
 }
 
-/** What two tries come to: after one without an answer, a refusal of the other
- * does not say that nothing was done. */
-function merged<T>(
+/**
+ * Combines the outcomes of two attempts of the same call. If the first one got
+ * no response, a refusal of the second one does not show that the call had no
+ * effect, so the outcome stays unknown.
+ */
+function mergeOutcomes<T>(
   first: Outcome<T, RowStoreError> | undefined,
   last: Outcome<T, RowStoreError>,
 ): Outcome<T, RowStoreError> {
   if (!first || first.ok || last.ok) return last;
-  const unsure = first.err.kind === 'unknown' && last.err.kind === 'refused';
-  return unsure ? failure(first.err) : last;
+  const inDoubt = first.err.kind === 'unknown' && last.err.kind === 'refused';
+  return inDoubt ? failure(first.err) : last;
 }
--- a/packages/stores/src/lib/process/row_json.ts
+++ b/packages/stores/src/lib/process/row_json.ts
@@ -1,28 +1,34 @@
-/** Rows whose value is JSON of a known shape. */
+/** Encoding and validation of row values that are JSON. */
 import {failure, success, type Outcome} from '@oathead/core';
 import {z} from 'zod';
 
 const DECODER = new TextDecoder();
 const ENCODER = new TextEncoder();
 
-/** Why a row could not be read: another release or another writer wrote it. */
+/**
+ * Error for a row value that cannot be decoded, for example because another
+ * release or another program wrote it.
+ */
 export interface UnreadableRow {
   readonly kind: 'unreadable';
   readonly message: string;
 }
 
 /**
- * @param value - What JSON can carry.
- * @returns The value of a row.
+ * @param value - A value that can be serialized as JSON.
+ * @returns The row value: JSON in UTF-8.
  */
 export function encodeJson(value: unknown): Uint8Array {
   return ENCODER.encode(JSON.stringify(value));
 }
 
 /**
- * @param value - The value of a row.
- * @param schema - What it must hold.
- * @returns What it holds, or why it can't be read.
+ * Decodes and validates a row value.
+ *
+ * @param value - The row value: JSON in UTF-8.
+ * @param schema - Schema of the decoded value.
+ * @returns The decoded value, or an error if it is not JSON or does not match
+ *     the schema.
  */
 export function decodeJson<T>(
   value: Uint8Array,
@@ -39,8 +45,10 @@
 }
 
 /**
- * @param text - Text that should be JSON.
- * @returns What it says, or why it can't be read.
+ * Parses JSON without throwing.
+ *
+ * @param text - The text to parse.
+ * @returns The parsed value, or an error if the text is not JSON.
  */
 export function parseJson(text: string): Outcome<unknown, UnreadableRow> {
   try {
--- a/packages/stores/src/lib/process/row_store.ts
+++ b/packages/stores/src/lib/process/row_store.ts
@@ -1,28 +1,28 @@
 /**
- * A store of versioned rows in partitions, with a feed of changes and objects
- * for what is too large for a row. A row's own version is what fences a write:
- * a writer that acted on an older version is refused.
+ * A store of versioned rows in partitions, with a change feed, and of objects
+ * for data that is too large for a row. Writes are fenced by row versions: a
+ * transaction that expects an older version of a row is rejected.
  */
 import type {Outcome} from '@oathead/core';
 
-/** Names a row. */
+/** Identifies a row. */
 export interface RowRef {
   readonly table: string;
-  /** Rows of one partition can be written in one transaction. */
+  /** A transaction can write several rows of one partition. */
   readonly partition: string;
   readonly key: string;
 }
 
-/** A row as it was at one moment. */
+/** A row at a specific version. */
 export interface VersionedRow extends RowRef {
   readonly value: Uint8Array;
-  /** Grows with each write of any row; never used again. */
+  /** Increases with each write of any row; never reused. */
   readonly version: number;
 }
 
-/** A condition of a transaction: the row still has this version. */
+/** Precondition of a transaction: the row has this version. */
 export interface ExpectedRow extends RowRef {
-  /** 0: the row does not exist. */
+  /** The expected version; 0 if the row must not exist. */
   readonly version: number;
 }
 
@@ -31,78 +31,95 @@
   readonly value: Uint8Array;
 }
 
-/** Writes that happen together if all expectations hold, or not at all. */
+/** Writes that are applied atomically if all preconditions hold. */
 export interface RowTransaction {
   readonly expect: readonly ExpectedRow[];
   readonly puts: readonly RowPut[];
   readonly removes: readonly RowRef[];
 }
 
-/** When an answer of the store was true. */
+/** The point in time at which a response of the store was current. */
 export interface StoreMoment {
-  /** The newest version of any row. */
+  /** The highest version of any row. */
   readonly version: number;
-  /** The store's steady clock, in milliseconds. */
+  /** The store's monotonic clock, in milliseconds. */
   readonly storeTimeMs: number;
 }
 
-/** Which rows of one partition are wanted. */
+/** Selects a range of rows of one partition. */
 export interface RowQuery {
   readonly table: string;
   readonly partition: string;
-  /** The first key, included. */
+  /** Start of the key range, inclusive. */
   readonly from?: string;
-  /** The last key, excluded. */
+  /** End of the key range, exclusive. */
   readonly to?: string;
-  /** How many rows at the most. */
+  /** Maximum number of rows to return. */
   readonly limit?: number;
 }
 
-/** Rows as of a single moment, by key. */
+/** A consistent snapshot of the selected rows, ordered by key. */
 export interface RowPage extends StoreMoment {
   readonly rows: readonly VersionedRow[];
   /** Whether more rows match than were returned. */
   readonly hasMore: boolean;
 }
 
-/** A change of a row. */
+/** An entry of the change feed. */
 export type RowChange =
   | {readonly kind: 'put'; readonly row: VersionedRow}
   | {readonly kind: 'removed'; readonly ref: RowRef; readonly version: number};
 
-/** Changes of a table in the order in which they happened. */
+/** Changes of a table, in the order in which they were applied. */
 export interface RowChanges extends StoreMoment {
   readonly changes: readonly RowChange[];
 }
 
-/** Why a store gave no result. */
+/** Why a call to the store failed. */
 export type RowStoreError =
-  /** Nothing was done: down, over its rate, or not for this host. */
+  /**
+   * The call had no effect: the store is down, over its rate limit, or does not
+   * serve this host.
+   */
   | {readonly kind: 'refused'; readonly message: string}
-  /** No answer: a write may have been done, or may be done later. */
+  /** No response. A write may have been applied or may yet be applied. */
   | {readonly kind: 'unknown'; readonly message: string}
-  /** An expectation did not hold; nothing was written. */
+  /**
+   * A precondition did not hold and nothing was written. `rows` contains those
+   * of the expected rows that exist.
+   */
   | {readonly kind: 'conflict'; readonly rows: readonly VersionedRow[]}
-  /** The changes asked for are no longer kept. */
+  /** The requested changes are no longer in the change history. */
   | {readonly kind: 'history-lost'}
-  /** There is no such object. */
+  /** The object does not exist. */
   | {readonly kind: 'missing'};
 
-/** What a call to the store comes to. */
+/** Result of a call to the store. */
 export type RowStoreOutcome<T> = Promise<Outcome<T, RowStoreError>>;
 
-/** The store. No call throws and each ends within a bounded time. */
+/** Client of the store. Calls never throw and complete in bounded time. */
 export interface RowStore {
-  /** @param transaction - What to write, and under which conditions. */
+  /**
+   * Applies a transaction.
+   *
+   * @param transaction - Writes and their preconditions.
+   * @returns The version and time of the store after the write.
+   */
   transact(transaction: RowTransaction): RowStoreOutcome<StoreMoment>;
-  /** @param query - Which rows are wanted. */
+  /**
+   * Reads rows of one partition.
+   *
+   * @param query - The rows to read.
+   * @returns A page of rows. The store may return fewer rows than the limit.
+   */
   read(query: RowQuery): RowStoreOutcome<RowPage>;
   /**
-   * Waits for changes.
+   * Reads the change feed by long polling.
    *
-   * @param table - Whose changes are wanted, in all its partitions.
-   * @param after - The version up to which the caller knows the table.
-   * @param waitMs - How long to wait for a first change, in milliseconds.
+   * @param table - The table, with all its partitions.
+   * @param after - Version after which changes are returned.
+   * @param waitMs - Maximum time to wait for the first change, in milliseconds.
+   * @returns The changes; empty if there was none within the wait.
    */
   changes(
     table: string,
@@ -110,14 +127,20 @@
     waitMs: number,
   ): RowStoreOutcome<RowChanges>;
   /**
-   * @returns The store's steady clock as its last answer told it, plus the time
-   *     since, in milliseconds; undefined until it has answered.
+   * @returns Estimate of the store's monotonic clock in milliseconds: its value
+   *     in the last response plus the time since; undefined before the first
+   *     response.
    */
   storeTimeMs(): number | undefined;
-  /** Writes an object unless there is one of this name. */
+  /** Writes an object unless one of this name exists. */
   putObject(name: string, bytes: Uint8Array): RowStoreOutcome<void>;
-  /** @param name - Which object is wanted. */
+  /**
+   * Reads an object.
+   *
+   * @param name - Name of the object.
+   * @returns Its bytes, or a `missing` error.
+   */
   getObject(name: string): RowStoreOutcome<Uint8Array>;
-  /** Removes an object; one that is gone already counts as removed. */
+  /** Removes an object. Succeeds if it does not exist. */
   removeObject(name: string): RowStoreOutcome<void>;
 }
--- a/packages/stores/src/lib/process/table_store.ts
+++ b/packages/stores/src/lib/process/table_store.ts
@@ -1,10 +1,10 @@
 /**
- * The platform's transactional table service, as the system needs it. A new
- * platform is met by one new implementation.
+ * Interface to the platform's transactional table service. To support another
+ * platform, implement {@link TableStore} for it.
  */
 import type {Outcome} from '@oathead/core';
 
-/** A value that JSON can carry. */
+/** A JSON value. */
 export type Json =
   | null
   | boolean
@@ -13,18 +13,18 @@
   | readonly Json[]
   | {readonly [key: string]: Json | undefined};
 
-/** One row. */
+/** A row of the table. */
 export interface Row {
   readonly key: string;
   readonly value: Json;
-  /** Changes with each write of the row; never 0, never used again. */
+  /** Changes with each write of the row; never 0 and never reused. */
   readonly version: number;
 }
 
-/** A condition of a transaction: the row still has this version. */
+/** Precondition of a transaction: the row has this version. */
 export interface RowCheck {
   readonly key: string;
-  /** 0: the row does not exist. */
+  /** The expected version; 0 if the row must not exist. */
   readonly version: number;
 }
 
@@ -33,53 +33,53 @@
   | {readonly kind: 'put'; readonly key: string; readonly value: Json}
   | {readonly kind: 'delete'; readonly key: string};
 
-/** Writes that happen together if every check holds, or not at all. */
+/** Writes that are applied atomically if every check holds. */
 export interface Transaction {
   readonly checks: readonly RowCheck[];
   readonly writes: readonly RowWrite[];
 }
 
-/** A transaction that happened: the new version of each row put, by key. */
+/** Result of a committed transaction: the new version of each put row, by key. */
 export interface Committed {
   readonly versions: Readonly<Record<string, number>>;
 }
 
-/** Why a store gave no result. */
+/** Why a call to the platform failed. */
 export type StoreError =
-  /** Down, slow past the timeout, or the answer was lost. */
+  /** The service is down, the call timed out, or the response was lost. */
   | {
       readonly kind: 'unavailable';
-      /** Whether a write may have taken effect all the same. */
+      /** `unknown` if a write may nevertheless have taken effect. */
       readonly applied: 'no' | 'unknown';
       readonly message: string;
     }
-  /** A check did not hold; nothing was written. */
+  /** A check did not hold and nothing was written. */
   | {readonly kind: 'conflict'; readonly key: string; readonly version: number}
-  /** Over the rate; nothing was written. */
+  /** The rate limit was exceeded and nothing was written. */
   | {readonly kind: 'throttled'; readonly retryAfterMs: number};
 
-/** Rows of a listing at the most, and by default. */
+/** Maximum and default number of rows of a listing. */
 export const MAX_LIST_LIMIT = 1000;
 
-/** A page of a listing. */
+/** Selects a page of a listing. */
 export interface ListOptions {
-  /** Only keys behind this one. */
+  /** Lists only keys that sort after this one. */
   readonly after?: string;
-  /** At most so many rows; 1,000 at the most. */
+  /** Maximum number of rows, capped at {@link MAX_LIST_LIMIT}. */
   readonly limit?: number;
 }
 
-/** The table service. */
+/** Client of the table service. */
 export interface TableStore {
-  /** @returns The rows in the order of `keys`; undefined where there is none. */
+  /** @returns The rows in the order of `keys`; undefined for a missing row. */
   read(
     keys: readonly string[],
   ): Promise<Outcome<readonly (Row | undefined)[], StoreError>>;
-  /** @returns Rows whose key begins with `prefix`, ordered by key. */
+  /** @returns The rows whose keys start with `prefix`, ordered by key. */
   list(
     prefix: string,
     options?: ListOptions,
   ): Promise<Outcome<readonly Row[], StoreError>>;
-  /** Writes all rows of a transaction, or none. */
+  /** Applies a transaction atomically. */
   write(transaction: Transaction): Promise<Outcome<Committed, StoreError>>;
 }
--- a/packages/stores/src/lib/process/table_watch.ts
+++ b/packages/stores/src/lib/process/table_watch.ts
@@ -1,11 +1,11 @@
 /**
- * The rows of a table, kept up to date in memory: read whole at first, then
- * followed through the feed, and read whole again when the feed has lost its
- * history or from time to time.
+ * Keeps an in-memory copy of a table up to date. The table is first read in
+ * full, then followed through the change feed. It is read in full again
+ * periodically and when the feed has lost its history.
  *
- * Guards against a feed that has silently missed a change: the whole read
- * repairs it. A row is replaced only by one of a higher version, so an answer
- * that was delayed on the way never brings an older row back.
+ * The periodic full read repairs the copy if the feed has silently missed a
+ * change. A row is replaced only by one with a higher version, so a delayed
+ * response never restores an older row.
  */
 import {
   sleep,
@@ -22,60 +22,66 @@
   VersionedRow,
 } from './row_store.js';
 
-/** How a table is followed. */
+/** Options of a {@link TableWatch}. */
 export interface TableWatchOptions {
   readonly table: string;
   readonly partitions: readonly string[];
-  /** How long a call waits for a first change, in milliseconds. */
+  /** Long-poll timeout of the change feed, in milliseconds. */
   readonly waitMs: number;
   /**
-   * The least time between two calls, in milliseconds: changes in between come
-   * in one answer, so a busy table costs a bounded number of calls.
+   * Minimum interval between the starts of two calls, in milliseconds. Changes
+   * in between arrive in one response, so the call rate of a busy table is
+   * bounded.
    */
   readonly pauseMs: number;
-  /** How often the table is read whole, in milliseconds. */
+  /** Interval of full reads, in milliseconds. */
   readonly fullReadMs: number;
-  /** Rows to a page of a whole read. */
+  /** Page size of full reads, in rows. */
   readonly pageRows: number;
 }
 
-/** What a change of the watched rows looks like. */
+/** A change of the in-memory copy. */
 export interface TableUpdate {
-  /** Rows that are new or have a new version. */
+  /** Rows that are new or have a higher version. */
   readonly put: readonly VersionedRow[];
-  /** Rows as they were last, which are gone now. */
+  /** The last known versions of rows that have been removed. */
   readonly removed: readonly VersionedRow[];
-  /** The store's steady clock when this was true, in milliseconds. */
+  /**
+   * The store's monotonic clock when the update was current, in milliseconds; 0
+   * for seeded rows.
+   */
   readonly storeTimeMs: number;
 }
 
-/** What a {@link TableWatch} needs. */
+/** Dependencies of a {@link TableWatch}. */
 export interface TableWatchContext {
   readonly store: RowStore;
   readonly clock: Clock;
   readonly log: EventLog;
   readonly counters: Counters;
-  /** Renewed by each answer, once what it brings is adopted. */
+  /** Renewed by each response, after its changes have been applied. */
   readonly freshness?: FreshnessLease;
 }
 
-/** Pause after a call that failed, in milliseconds: half a second's budget of a
- * host that asks five times a second at most while the store is away. */
-const RETRY_PAUSE_MS = 200;
+/**
+ * Delay after a failed call, in milliseconds. It limits a host to five calls a
+ * second while the store is unavailable, half of its call budget per second.
+ */
+const RETRY_DELAY_MS = 200;
 
-/** Follows a table until disposed. */
+/** Keeps a copy of a table up to date until disposed. */
 export class TableWatch implements Disposable {
   private readonly rows = new Map<string, VersionedRow>();
   private readonly stop = new AbortController();
   private version = 0;
-  private fullReadAt = -Infinity;
+  private lastFullReadAt = -Infinity;
   private failing = false;
-  private readAt = -Infinity;
+  private lastReadAt = -Infinity;
 
   /**
-   * @param options - What is followed, and how often.
-   * @param context - The store, the clock and where events go.
-   * @param onUpdate - Called after each answer, also when nothing changed.
+   * @param options - The table and the intervals of the watch.
+   * @param context - The store, clock, log and counters.
+   * @param onUpdate - Called after each response, even if nothing has changed.
    */
   constructor(
     private readonly options: TableWatchOptions,
@@ -83,81 +89,84 @@
     private readonly onUpdate: (update: TableUpdate) => void,
   ) {}
 
-  /** Begins to follow the table. */
+  /** Starts the watch. */
   start(): void {
     void this.follow();
   }
 
-  /** Ends the watch. */
+  /** Stops the watch. */
   [Symbol.dispose](): void {
     this.stop.abort();
   }
 
   /**
-   * Takes over rows that another host knows, while the store can't be asked.
-   * The next whole read corrects them.
+   * Adds rows that were received from another host while the store is
+   * unreachable. The next full read corrects them.
    *
    * @param rows - Rows of this table.
    */
   seed(rows: readonly VersionedRow[]): void {
-    const put = rows.filter(row => this.adopt(row));
+    const put = rows.filter(row => this.updateRow(row));
     if (put.length > 0) this.onUpdate({put, removed: [], storeTimeMs: 0});
   }
 
-  /** Whether the store has answered at least once. */
+  /** Whether at least one response has been received from the store. */
   get hasRead(): boolean {
-    return this.readAt > -Infinity;
+    return this.lastReadAt > -Infinity;
   }
 
-  /** @returns All rows that are known now. */
+  /** @returns All rows of the in-memory copy. */
   all(): readonly VersionedRow[] {
     return [...this.rows.values()];
   }
 
-  /** Milliseconds since the store last answered; infinite before it has. */
+  /** Milliseconds since the last response; infinite before the first one. */
   get ageMs(): number {
-    return this.context.clock.now() - this.readAt;
+    return this.context.clock.now() - this.lastReadAt;
   }
 
   private async follow(): Promise<void> {
     const {clock} = this.context;
     while (!this.stop.signal.aborted) {
       const startedAt = clock.now();
-      const ok = await this.step();
+      const ok = await this.poll();
       const spent = clock.now() - startedAt;
-      const pause = ok ? this.options.pauseMs - spent : RETRY_PAUSE_MS;
+      const pause = ok ? this.options.pauseMs - spent : RETRY_DELAY_MS;
       if (pause > 0) await sleep(clock, pause, this.stop.signal);
     }
   }
 
-  private async step(): Promise<boolean> {
-    const due = this.fullReadAt + this.options.fullReadMs;
-    if (this.context.clock.now() >= due) return this.readWhole();
+  private async poll(): Promise<boolean> {
+    const due = this.lastFullReadAt + this.options.fullReadMs;
+    if (this.context.clock.now() >= due) return this.readAll();
     return this.readChanges();
   }
 
   private async readChanges(): Promise<boolean> {
     const {table, waitMs} = this.options;
-    const question = this.context.freshness?.startRenewal();
-    const answer = await this.context.store.changes(
+    const renewal = this.context.freshness?.startRenewal();
+    const result = await this.context.store.changes(
       table,
       this.version,
       waitMs,
     );
-    if (!answer.ok) return this.failed(answer.err);
-    this.succeeded();
-    const {changes, version, storeTimeMs} = answer.value;
+    if (!result.ok) return this.recordFailure(result.err);
+    this.recordSuccess();
+    const {changes, version, storeTimeMs} = result.value;
     this.version = Math.max(this.version, version);
     const put: VersionedRow[] = [];
     const removed: VersionedRow[] = [];
     for (const change of changes) this.apply(change, put, removed);
     this.onUpdate({put, removed, storeTimeMs});
-    this.prove(question, version);
+    this.renewFreshness(renewal, version);
     return true;
   }
 
-  private prove(question: LeaseRenewal | undefined, version: number): void {
-    if (!question || this.context.freshness!.renew(question, version)) return;
+  private renewFreshness(
+    renewal: LeaseRenewal | undefined,
+    version: number,
+  ): void {
+    if (!renewal || this.context.freshness!.renew(renewal, version)) return;
     const {table} = this.options;
     this.context.counters.count('table_answers_out_of_date', {table});
   }
@@ -168,7 +177,7 @@
     removed: VersionedRow[],
   ): void {
     if (change.kind === 'put') {
-      if (this.adopt(change.row)) put.push(change.row);
+      if (this.updateRow(change.row)) put.push(change.row);
       return;
     }
     const key = rowKey(change.ref.partition, change.ref.key);
@@ -178,7 +187,7 @@
     removed.push(known);
   }
 
-  private adopt(row: VersionedRow): boolean {
+  private updateRow(row: VersionedRow): boolean {
     const key = rowKey(row.partition, row.key);
     const known = this.rows.get(key);
     if (known && known.version >= row.version) return false;
@@ -186,37 +195,37 @@
     return true;
   }
 
-  private async readWhole(): Promise<boolean> {
+  private async readAll(): Promise<boolean> {
     const found = new Map<string, VersionedRow>();
     let version = Infinity;
     let storeTimeMs = 0;
-    const question = this.context.freshness?.startRenewal();
+    const renewal = this.context.freshness?.startRenewal();
     for (const partition of this.options.partitions) {
       let from: string | undefined;
       do {
         const {table, pageRows: limit} = this.options;
-        const answer = await this.context.store.read({
+        const result = await this.context.store.read({
           table,
           partition,
           from,
           limit,
         });
-        if (!answer.ok) return this.failed(answer.err);
-        const {rows, hasMore} = answer.value;
+        if (!result.ok) return this.recordFailure(result.err);
+        const {rows, hasMore} = result.value;
         for (const row of rows) found.set(rowKey(partition, row.key), row);
-        version = Math.min(version, answer.value.version);
-        storeTimeMs = answer.value.storeTimeMs;
-        from = hasMore ? keyBehind(rows.at(-1)!.key) : undefined;
+        version = Math.min(version, result.value.version);
+        storeTimeMs = result.value.storeTimeMs;
+        from = hasMore ? nextKey(rows.at(-1)!.key) : undefined;
       } while (from !== undefined);
     }
-    this.succeeded();
-    this.fullReadAt = this.context.clock.now();
-    this.replace(found, version, storeTimeMs);
-    this.prove(question, version);
+    this.recordSuccess();
+    this.lastFullReadAt = this.context.clock.now();
+    this.replaceRows(found, version, storeTimeMs);
+    this.renewFreshness(renewal, version);
     return true;
   }
 
-  private replace(
+  private replaceRows(
     found: ReadonlyMap<string, VersionedRow>,
     version: number,
     storeTimeMs: number,
@@ -227,26 +236,26 @@
       this.rows.delete(key);
       removed.push(row);
     }
-    const put = [...found.values()].filter(row => this.adopt(row));
+    const put = [...found.values()].filter(row => this.updateRow(row));
     this.version = Math.max(this.version, version);
     this.onUpdate({put, removed, storeTimeMs});
   }
 
-  private succeeded(): void {
-    this.readAt = this.context.clock.now();
+  private recordSuccess(): void {
+    this.lastReadAt = this.context.clock.now();
     if (!this.failing) return;
     this.failing = false;
     this.context.log.event('table-feed-regained', {table: this.options.table});
   }
 
-  private failed(err: RowStoreError): boolean {
+  private recordFailure(err: RowStoreError): boolean {
     if (err.kind === 'history-lost') {
-      this.fullReadAt = -Infinity;
+      this.lastFullReadAt = -Infinity;
       this.context.log.event('table-history-lost', {
         table: this.options.table,
         version: this.version,
       });
-      return this.readAt > -Infinity;
+      return this.lastReadAt > -Infinity;
     }
     this.context.counters.count('table_feed_failures', {
       table: this.options.table,
@@ -263,8 +272,11 @@
   }
 }
 
-/** Keys have no characters below this one, so none is between the two. */
-function keyBehind(key: string): string {
+/**
+ * Returns a key that sorts directly after `key`. Keys contain no character that
+ * sorts below `!`, so no key lies between the two.
+ */
+function nextKey(key: string): string {
   return `${key}!`;
 }
 
--- a/packages/stores/src/lib/process/weight_store.ts
+++ b/packages/stores/src/lib/process/weight_store.ts
@@ -1,17 +1,20 @@
-/** The platform's store of weights: large, and limited in rate for the whole fleet. */
+/**
+ * Interface to the platform's store of model weights. Weights are large, and the
+ * number of concurrent loads is limited for the whole fleet.
+ */
 import type {Outcome} from '@oathead/core';
 import type {StoreError} from './table_store.js';
 
-/** What the store tells about a set of weights. */
+/** Metadata of a set of weights. */
 export interface WeightInfo {
   readonly name: string;
   readonly bytes: number;
 }
 
-/** The weight store. */
+/** Client of the weight store. */
 export interface WeightStore {
-  /** @returns What is stored under a name, or undefined. */
+  /** @returns The metadata of the named weights, or undefined if unknown. */
   describe(name: string): Promise<Outcome<WeightInfo | undefined, StoreError>>;
-  /** Loads that the store can bear at once, over the whole fleet. */
+  /** @returns Number of concurrent loads that the store allows, fleet-wide. */
   concurrentLoads(): Promise<Outcome<number, StoreError>>;
 }
--- a/packages/stores/src/test/process/commit_with_nonce_test.ts
+++ b/packages/stores/src/test/process/commit_with_nonce_test.ts
@@ -20,7 +20,7 @@
   'forestalled',
 ];
 
-/** Time passes only by waiting. */
+/** Creates a clock that advances only when a timer fires. */
 function createClock(): Clock {
   let time = 0;
   return {
@@ -36,29 +36,29 @@
   };
 }
 
-async function otherWriter(table: ScriptedTable): Promise<void> {
+async function writeAsOther(table: ScriptedTable): Promise<void> {
   const rows = await table.list('marker');
   const base = rows.ok ? rows.value[0] : undefined;
   const value = stampNonce({by: 'other'}, `other${base?.version}`, base);
   const checks = [{key: 'marker', version: base?.version ?? 0}];
   const writes = [{kind: 'put', key: 'marker', value}] as const;
-  await table.writeDirectly({checks, writes});
+  await table.writeUnscripted({checks, writes});
 }
 
-interface Setting {
+interface Fixture {
   readonly table: ScriptedTable;
   readonly run: (changes?: Partial<Commit>) => Promise<CommitOutcome>;
 }
 
-async function createSetting(
+async function createFixture(
   steps: readonly Step[],
   exists = true,
   otherWrites = 1,
-): Promise<Setting> {
+): Promise<Fixture> {
   const table: ScriptedTable = new ScriptedTable(steps, async () => {
-    for (let i = 0; i < otherWrites; i++) await otherWriter(table);
+    for (let i = 0; i < otherWrites; i++) await writeAsOther(table);
   });
-  if (exists) await otherWriter(table);
+  if (exists) await writeAsOther(table);
   const rows = await table.list('marker');
   const base: Row | undefined = rows.ok ? rows.value[0] : undefined;
   const marker = {key: 'marker', base, value: {by: 'me'}};
@@ -69,34 +69,39 @@
   return {table, run};
 }
 
-// A user sees a job accepted twice, or one that was refused run all the same.
-// The store's answer to a write was lost, or the write itself was, or it lay
-// in a buffer and took effect later; meanwhile others wrote over the row.
-// Cause: the writer drew a conclusion that the store did not warrant.
-test('tells the truth after every fault at every step', async t => {
-  const seen = new Set<string>();
+// A job is accepted twice, or a refused job runs all the same, if the writer
+// infers an outcome that the store has not confirmed. The response to a write or
+// the write itself may be lost, or the write may be buffered and applied later,
+// while other writers overwrite the row.
+test('reports the correct outcome for every fault at every step', async t => {
+  const outcomeKinds = new Set<string>();
   for (const exists of [true, false])
     for (const first of STEPS)
       for (const second of STEPS)
         for (const third of STEPS)
           for (const fourth of STEPS) {
             const steps = [first, second, third, fourth];
-            const {table, run} = await createSetting(steps, exists);
+            const {table, run} = await createFixture(steps, exists);
             const outcome = await run();
             const before = table.applied;
             await table.deliverLate();
-            const story = `${exists} ${steps.join()}: ${outcome.kind}`;
-            seen.add(outcome.kind);
+            const description = `${exists} ${steps.join()}: ${outcome.kind}`;
+            outcomeKinds.add(outcome.kind);
             const expected = outcome.kind === 'committed' ? 1 : 0;
-            if (outcome.kind === 'unknown') t.true(table.applied <= 1, story);
+            if (outcome.kind === 'unknown')
+              t.true(table.applied <= 1, description);
             else
-              t.deepEqual([before, table.applied], [expected, expected], story);
+              t.deepEqual(
+                [before, table.applied],
+                [expected, expected],
+                description,
+              );
           }
-  t.deepEqual([...seen].sort(), ['committed', 'conflict']);
+  t.deepEqual([...outcomeKinds].sort(), ['committed', 'conflict']);
 });
 
-test('knows its write behind a lost answer, and the versions', async t => {
-  const {table, run} = await createSetting(['answer-lost']);
+test('recognizes its write after a lost response, with versions', async t => {
+  const {table, run} = await createFixture(['answer-lost']);
   const outcome = await run();
   const rows = await table.read(['marker', 'data']);
   const versions = rows.ok ? rows.value.map(row => row!.version) : [];
@@ -107,8 +112,8 @@
   t.is(table.applied, 1);
 });
 
-test('knows its write although another has written over it', async t => {
-  const {run} = await createSetting(['overwritten']);
+test('recognizes its write after another writer overwrote it', async t => {
+  const {run} = await createFixture(['overwritten']);
   const outcome = await run();
   t.is(outcome.kind, 'committed');
   t.deepEqual(outcome.kind === 'committed' && Object.keys(outcome.versions), [
@@ -116,48 +121,48 @@
   ]);
 });
 
-test('knows that another came first, behind the same base', async t => {
-  const {run} = await createSetting(['forestalled']);
+test('reports a conflict if another write with the same base won', async t => {
+  const {run} = await createFixture(['forestalled']);
   t.deepEqual(await run(), {kind: 'conflict', key: 'marker'});
 });
 
-test('says unknown when the row has lost track of it', async t => {
-  const {run} = await createSetting(['forestalled'], true, 20);
+test('reports unknown when the nonce history is too short', async t => {
+  const {run} = await createFixture(['forestalled'], true, 20);
   t.is((await run()).kind, 'unknown');
 });
 
-test('says unavailable when each attempt was refused for certain', async t => {
-  const {table, run} = await createSetting(Array<Step>(50).fill('throttled'));
+test('reports unavailable when every attempt was refused', async t => {
+  const {table, run} = await createFixture(Array<Step>(50).fill('throttled'));
   t.like(await run(), {kind: 'unavailable', err: {kind: 'throttled'}});
   t.is(table.calls, 5);
 });
 
-test('says unknown when nothing can be read back', async t => {
+test('reports unknown when the marker cannot be read back', async t => {
   const steps: Step[] = ['late', ...Array<Step>(50).fill('refused')];
-  const {table, run} = await createSetting(steps);
+  const {table, run} = await createFixture(steps);
   t.is((await run()).kind, 'unknown');
   await table.deliverLate();
   t.is(table.applied, 1);
 });
 
-// A user sees a cancelled job come to life. A row that had to be absent was
-// there, so the commit failed; later the row went and a copy of the commit
-// that had been under way all the time took effect.
-test('does not call a conflict final that can go away', async t => {
-  const {table, run} = await createSetting(['late']);
+// A cancelled job starts to run. The commit failed because a row existed that
+// must not exist. After that row was deleted, a delayed copy of the commit that
+// was still in flight took effect.
+test('does not report a conflict that can still be resolved', async t => {
+  const {table, run} = await createFixture(['late']);
   const put = {kind: 'put', key: 'lock', value: {}} as const;
-  await table.writeDirectly({checks: [], writes: [put]});
+  await table.writeUnscripted({checks: [], writes: [put]});
   const outcome = await run({checks: [{key: 'lock', version: 0}]});
   t.is(outcome.kind, 'unknown');
-  const gone = {kind: 'delete', key: 'lock'} as const;
-  await table.writeDirectly({checks: [], writes: [gone]});
+  const unlock = {kind: 'delete', key: 'lock'} as const;
+  await table.writeUnscripted({checks: [], writes: [unlock]});
   await table.deliverLate();
   t.is(table.applied, 1);
 });
 
-test('keeps the history of a row short', async t => {
-  const {table, run} = await createSetting([]);
-  for (let i = 0; i < 20; i++) await otherWriter(table);
+test('limits the nonce history of a row', async t => {
+  const {table, run} = await createFixture([]);
+  for (let i = 0; i < 20; i++) await writeAsOther(table);
   const rows = await table.read(['marker']);
   t.is(noncesOf(rows.ok ? rows.value[0] : undefined).length, 8);
   t.is((await run()).kind, 'conflict');
--- a/packages/stores/src/test/process/memory_table_test.ts
+++ b/packages/stores/src/test/process/memory_table_test.ts
@@ -3,7 +3,7 @@
 
 const PAGE = 1000;
 
-test('a row made anew never has an earlier version', async t => {
+test('a row that is created again never reuses a version', async t => {
   const table = new MemoryTable();
   const put = {kind: 'put', key: 'a', value: 1} as const;
   const first = await table.write({checks: [], writes: [put]});
@@ -14,7 +14,7 @@
   t.like(stale, {ok: false, err: {kind: 'conflict', key: 'a', version: 2}});
 });
 
-test('keeps what was written, whatever the writer does to it later', async t => {
+test('stores a copy that later changes by the writer do not affect', async t => {
   const table = new MemoryTable();
   const value = {items: [1]};
   const writes = [{kind: 'put', key: 'a', value}] as const;
@@ -23,7 +23,7 @@
   t.like(await table.read(['a']), {value: [{value: {items: [1]}}]});
 });
 
-test('lists pages in order, each of a thousand rows at the most', async t => {
+test('lists pages in key order, with at most 1,000 rows each', async t => {
   const table = new MemoryTable();
   const keys = [...Array(PAGE + 1).keys()].map(i => `r/${10 * PAGE + i}`);
   const writes = [...keys, 'q/1', 's/1']
--- a/packages/stores/src/test/process/relayed_row_store_test.ts
+++ b/packages/stores/src/test/process/relayed_row_store_test.ts
@@ -17,25 +17,25 @@
   RowStoreError,
 } from '../../lib/process/row_store.js';
 
-const NOTHING: RowChanges = {changes: [], version: 1, storeTimeMs: 1};
-const SILENT: RowStoreError = {kind: 'unknown', message: 'silent'};
-const REFUSED: RowStoreError = {kind: 'refused', message: 'no way'};
+const NO_CHANGES: RowChanges = {changes: [], version: 1, storeTimeMs: 1};
+const TIMED_OUT: RowStoreError = {kind: 'unknown', message: 'silent'};
+const REFUSED: RowStoreError = {kind: 'refused', message: 'store unreachable'};
 
-/** A way to the store that counts its calls and answers as it is told to. */
-class Way {
+/** A store or relay that counts its calls and fails with `err` if it is set. */
+class FakeStore {
   calls = 0;
   err: RowStoreError | undefined;
 
   async changes() {
     this.calls++;
-    return this.err ? failure(this.err) : success(NOTHING);
+    return this.err ? failure(this.err) : success(NO_CHANGES);
   }
 
   read = this.changes;
   transact = this.changes;
 }
 
-function newStore(direct: Way, relays: readonly Way[]) {
+function newStore(direct: FakeStore, relays: readonly FakeStore[]) {
   return new RelayedRowStore(direct as unknown as RowStore, {
     clock: SYSTEM_CLOCK,
     random: seededRandom(1),
@@ -46,26 +46,28 @@
   });
 }
 
-// A host without a way of its own asks one that has none either, and waits for two
-// timeouts in turn: longer than it may admit callers by key without an answer.
-test('a host that is relayed itself says so at once', async t => {
-  const direct = new Way();
-  const store = newStore(direct, [new Way()]);
+// A host that cannot reach the store asks a relay that cannot reach it either and
+// waits for two timeouts in sequence. That is longer than the host may admit
+// callers by API key without a response from the store.
+test('a host that depends on relays refuses to relay at once', async t => {
+  const direct = new FakeStore();
+  const store = newStore(direct, [new FakeStore()]);
   t.true((await store.forPeers.changes('t', 0, 0)).ok);
-  direct.err = SILENT;
+  direct.err = TIMED_OUT;
   t.true((await store.changes('t', 0, 0)).ok);
   const {calls} = direct;
-  const answer = await store.forPeers.changes('t', 0, 0);
-  t.is(answer.ok ? 'ok' : answer.err.kind, 'refused');
+  const result = await store.forPeers.changes('t', 0, 0);
+  t.is(result.ok ? 'ok' : result.err.kind, 'refused');
   t.is(direct.calls, calls);
 });
 
-// The same, with many of the hosts cut off: the next one is asked, and who answered
-// last is asked first.
-test('a relay that refuses is not the last one asked', async t => {
-  const direct = new Way();
-  direct.err = SILENT;
-  const relays = [...Array(6).keys()].map(() => new Way());
+// Many of the hosts are partitioned from the store, and calls fail although one
+// relay can reach it. After a refusal the next relay must be tried, and the relay
+// that last succeeded must be tried first.
+test('another relay is tried after one refuses', async t => {
+  const direct = new FakeStore();
+  direct.err = TIMED_OUT;
+  const relays = [...Array(6).keys()].map(() => new FakeStore());
   for (const relay of relays.slice(1)) relay.err = REFUSED;
   const store = newStore(direct, relays);
   for (let i = 0; i < 20 && relays[0]!.calls === 0; i++)
--- a/packages/stores/src/test/process/scripted_table.ts
+++ b/packages/stores/src/test/process/scripted_table.ts
@@ -1,42 +1,44 @@
-/** A table that fails by a script, for the tests of writers. */
+/** A table with scripted faults, for tests of writers. */
 import {failure} from '@oathead/core';
 import {MemoryTable} from '../../lib/process/memory_table.js';
 import type {StoreError, Transaction} from '../../lib/process/table_store.js';
 
-/** What happens to one call. */
+/** Fault injected into one call. */
 export type Step =
   | 'fine'
   | 'refused'
   | 'throttled'
-  /** Carried out; the answer is lost. */
+  /** Applied, but the response is lost. */
   | 'answer-lost'
-  /** Never carried out; the sender cannot tell. */
+  /** Never applied; the outcome is unknown to the writer. */
   | 'request-lost'
-  /** Carried out when `deliverLate` is called; the sender cannot tell. */
+  /**
+   * Applied when `deliverLate` is called; the outcome is unknown to the writer.
+   */
   | 'late'
-  /** Carried out, then another writer writes over it; the answer is lost. */
+  /** Applied, then overwritten by another writer; the response is lost. */
   | 'overwritten'
-  /** Another writer comes first; the sender's own write never arrives. */
+  /** Another writer writes first; the write itself is never applied. */
   | 'forestalled';
 
 const REFUSED = {kind: 'unavailable', applied: 'no', message: ''} as const;
 const UNKNOWN = {kind: 'unavailable', applied: 'unknown', message: ''} as const;
 const THROTTLED = {kind: 'throttled', retryAfterMs: 10} as const;
 
-/** Follows the script, one step a call of any kind, then works. */
+/** Consumes one step of the script for each call, then works without faults. */
 export class ScriptedTable extends MemoryTable {
-  /** Transactions of the tested writer that took effect. */
+  /** Number of transactions of the tested writer that took effect. */
   applied = 0;
   calls = 0;
   readonly late: Transaction[] = [];
 
   /**
-   * @param steps - What happens to each call.
-   * @param other - Another writer's write.
+   * @param steps - The fault of each call, in order.
+   * @param writeConcurrently - Performs a write of another writer.
    */
   constructor(
     private readonly steps: readonly Step[],
-    readonly other: (table: MemoryTable) => Promise<void>,
+    readonly writeConcurrently: (table: MemoryTable) => Promise<void>,
   ) {
     super();
   }
@@ -48,22 +50,22 @@
 
   override async write(transaction: Transaction) {
     const err = await WRITE_HANDLERS[this.nextStep()](this, transaction);
-    return err ? failure(err) : this.carryOut(transaction);
+    return err ? failure(err) : this.commitTransaction(transaction);
   }
 
-  /** Lets what was sent long ago arrive. */
+  /** Applies the delayed transactions. */
   async deliverLate(): Promise<void> {
     for (const transaction of this.late.splice(0))
-      await this.carryOut(transaction);
+      await this.commitTransaction(transaction);
   }
 
-  /** A write of the other writer, past the script. */
-  writeDirectly(transaction: Transaction) {
+  /** Writes without consuming a step of the script. */
+  writeUnscripted(transaction: Transaction) {
     return super.write(transaction);
   }
 
-  /** Carries out a transaction of the tested writer. */
-  async carryOut(transaction: Transaction) {
+  /** Applies a transaction of the tested writer and counts it. */
+  async commitTransaction(transaction: Transaction) {
     const result = await super.write(transaction);
     if (result.ok) this.applied++;
     return result;
@@ -91,7 +93,7 @@
   refused: async () => REFUSED,
   throttled: async () => THROTTLED,
   ['answer-lost']: async (table, transaction) => {
-    await table.carryOut(transaction);
+    await table.commitTransaction(transaction);
     return UNKNOWN;
   },
   ['request-lost']: async () => UNKNOWN,
@@ -100,12 +102,12 @@
     return UNKNOWN;
   },
   overwritten: async (table, transaction) => {
-    await table.carryOut(transaction);
-    await table.other(table);
+    await table.commitTransaction(transaction);
+    await table.writeConcurrently(table);
     return UNKNOWN;
   },
   forestalled: async table => {
-    await table.other(table);
+    await table.writeConcurrently(table);
     return UNKNOWN;
   },
 } satisfies Record<Step, WriteHandler>;
--- a/packages/stores/src/test/process/table_watch_test.ts
+++ b/packages/stores/src/test/process/table_watch_test.ts
@@ -44,7 +44,7 @@
   return {watch, updates, keys};
 }
 
-test('a watch knows what was there, and what comes and goes', async t => {
+test('a watch returns existing rows and follows puts and removals', async t => {
   const store = new MemoryRowStore(SYSTEM_CLOCK);
   for (const key of ['a', 'b', 'c', 'd', 'e']) await put(store, key);
   await put(store, 'x', 'p');
@@ -58,23 +58,23 @@
   watch[Symbol.dispose]();
 });
 
-// A host routes by a configuration that was replaced long ago: the store has
-// dropped its history while the host was not reading, and the feed can't tell
-// what has changed. The watch must read the table whole.
-test('a watch reads the table whole when the history is lost', async t => {
+// The store drops its change history while a host is not reading, so the feed
+// cannot report what has changed. The watch must read the table in full, or the
+// host keeps routing by an outdated configuration.
+test('a watch reads the table in full when the history is lost', async t => {
   const store = new MemoryRowStore(SYSTEM_CLOCK);
   await put(store, 'a');
   await put(store, 'b');
   let lost = false;
-  const forgetful: RowStore = {
-    ...bound(store),
+  const storeWithLostHistory: RowStore = {
+    ...delegateTo(store),
     changes: async (table, after, waitMs) => {
       if (!lost) return store.changes(table, after, waitMs);
       lost = false;
       return failure({kind: 'history-lost'});
     },
   };
-  const {watch, keys} = follow(forgetful);
+  const {watch, keys} = follow(storeWithLostHistory);
   await setTimeout(60);
   await remove(store, 'a');
   store.loseHistory();
@@ -84,7 +84,7 @@
   watch[Symbol.dispose]();
 });
 
-function bound(store: MemoryRowStore): RowStore {
+function delegateTo(store: MemoryRowStore): RowStore {
   return {
     transact: transaction => store.transact(transaction),
     read: query => store.read(query),
