--- a/packages/core/src/lib/connection/target_health.ts
+++ b/packages/core/src/lib/connection/target_health.ts
@@ -1,7 +1,7 @@
 /**
  * Traffic share of a target by its health. A target that is slower than its
  * peers, or fails requests, loses share gradually and regains it gradually, so
- * that a single bad or good answer does not shift the traffic.
+ * that a single good or bad outcome does not shift the traffic.
  */
 
 /** Weight of a new latency sample in the moving average. */
--- a/packages/core/src/lib/connection/target_link.ts
+++ b/packages/core/src/lib/connection/target_link.ts
@@ -24,7 +24,10 @@
 
 /** Reply of a target process to a heartbeat. */
 export interface HeartbeatReply {
-  /** ID of the process run; changes with each start of the target process. */
+  /**
+   * ID of the process incarnation; changes with each start of the target
+   * process.
+   */
   readonly bootId: string;
   readonly load: LoadReport;
 }
--- a/packages/core/src/lib/process/baseline_queue.ts
+++ b/packages/core/src/lib/process/baseline_queue.ts
@@ -34,7 +34,7 @@
   /**
    * Adds an online request to the simulated queue.
    *
-   * @param id - The id of the request that arrived.
+   * @param id - The ID of the request that arrived.
    * @param demand - What it costs the engine.
    * @param now - Time in milliseconds.
    */
@@ -57,7 +57,7 @@
   /**
    * Removes an online request that got its first token.
    *
-   * @param id - The id of the request.
+   * @param id - The ID of the request.
    * @returns The estimated time to first token without batch work, in
    *     milliseconds since arrival; undefined for an unknown request.
    */
@@ -71,7 +71,7 @@
    * Removes an online request that ended without a first token, and the time
    * that it would have taken.
    *
-   * @param id - The id of the request.
+   * @param id - The ID of the request.
    */
   ended(id: string): void {
     const estimate = this.estimates.get(id);
--- a/packages/core/src/lib/process/caller_limits.ts
+++ b/packages/core/src/lib/process/caller_limits.ts
@@ -107,7 +107,7 @@
    * @param tokens - Prompt tokens plus the maximum of generated tokens.
    * @param now - Current time, in milliseconds.
    * @returns The refusal, or undefined if the request is admitted; then {@link
-   *     CallerLimits.ended} must be called when it ends.
+   *     CallerLimits.release} must be called when it ends.
    */
   admit(caller: string, tokens: number, now: number): Refusal | undefined {
     const state = this.byCaller.get(caller);
--- a/packages/core/src/lib/process/disposable_store.ts
+++ b/packages/core/src/lib/process/disposable_store.ts
@@ -6,7 +6,7 @@
 
 /** A set of disposables that is disposed of as one. */
 export class DisposableStore implements Disposable {
-  private readonly held: Disposable[] = [];
+  private readonly disposables: Disposable[] = [];
   private released = false;
 
   /**
@@ -18,7 +18,7 @@
    */
   add<T extends Disposable>(item: T): T {
     if (this.released) item[Symbol.dispose]();
-    else this.held.push(item);
+    else this.disposables.push(item);
     return item;
   }
 
@@ -40,6 +40,7 @@
   [Symbol.dispose](): void {
     if (this.released) return;
     this.released = true;
-    while (this.held.length > 0) this.held.pop()![Symbol.dispose]();
+    while (this.disposables.length > 0)
+      this.disposables.pop()![Symbol.dispose]();
   }
 }
--- a/packages/core/src/lib/process/engine_observer.ts
+++ b/packages/core/src/lib/process/engine_observer.ts
@@ -94,7 +94,7 @@
   /**
    * Records the first token of a request.
    *
-   * @param id - The id of the request.
+   * @param id - The ID of the request.
    * @param now - Current time.
    * @param limitMs - The longest acceptable step.
    * @returns Whether the token is the first one observed of a completed step.
@@ -115,7 +115,7 @@
   /**
    * Records further tokens of a request.
    *
-   * @param id - The id of the request.
+   * @param id - The ID of the request.
    * @param count - The number of tokens.
    * @param now - Current time.
    * @param limitMs - The longest acceptable step.
@@ -131,7 +131,7 @@
   /**
    * Records that the engine no longer holds a request.
    *
-   * @param id - The id of the request.
+   * @param id - The ID of the request.
    * @param how - How it ended.
    * @param chunkDone - Whether it was a prefill chunk that completed.
    * @param now - Current time.
--- a/packages/core/src/lib/process/engine_scheduler.ts
+++ b/packages/core/src/lib/process/engine_scheduler.ts
@@ -60,10 +60,10 @@
   private readonly queues = new SchedulerQueues();
   private readonly prefixCache = this.observer.prefixCache;
   /**
-   * Requests of which only a prefill chunk is running, by id, with the number
+   * Requests of which only a prefill chunk is running, by ID, with the number
    * of prompt tokens up to the end of the chunk.
    */
-  private readonly pieces = new Map<string, number>();
+  private readonly chunkEnds = new Map<string, number>();
   private readonly batchLimiter: BatchLimiter;
   private pools = new Map<string, PoolConfig>();
   private supportsChunkedPrefill = true;
@@ -99,7 +99,7 @@
   firstToken(id: string, now: number): readonly AdmissionAction[] {
     // The target process started the whole request although only a prefill
     // chunk was asked for, so it does not support chunks.
-    if (this.pieces.delete(id)) this.supportsChunkedPrefill = false;
+    if (this.chunkEnds.delete(id)) this.supportsChunkedPrefill = false;
     this.prefixCache.recordComputed(this.running.get(id)?.prefillTokens ?? 0);
     const stepEnded = this.observer.firstToken(id, now, this.stepLimitMs());
     if (stepEnded)
@@ -115,8 +115,8 @@
   }
 
   ended(id: string, how: RunEnd, now: number): readonly AdmissionAction[] {
-    const chunkEnd = this.pieces.get(id);
-    this.pieces.delete(id);
+    const chunkEnd = this.chunkEnds.get(id);
+    this.chunkEnds.delete(id);
     const stopping = this.running.get(id)?.stopping ?? false;
     const chunkDone =
       chunkEnd !== undefined && !stopping && how === 'preempted';
@@ -309,7 +309,7 @@
     const {request, since} = next;
     const {id} = request;
     const prefillOnly = this.prefixCache.cachedTokens(id) + tokens;
-    this.pieces.set(id, prefillOnly);
+    this.chunkEnds.set(id, prefillOnly);
     this.observer.started(request, since, now, tokens);
     actions.push({kind: 'start', id, prefillOnly});
   }
--- a/packages/core/src/lib/process/interference_meter.ts
+++ b/packages/core/src/lib/process/interference_meter.ts
@@ -195,7 +195,7 @@
   /**
    * Records the arrival of an online request.
    *
-   * @param id - The id of the request.
+   * @param id - The ID of the request.
    * @param demand - Its cost to an engine without batch work.
    * @param now - Time in milliseconds.
    */
@@ -206,7 +206,7 @@
   /**
    * Records the first token of an online request.
    *
-   * @param id - The id of the request.
+   * @param id - The ID of the request.
    * @param elapsedMs - Time since its arrival, in milliseconds.
    */
   firstToken(id: string, elapsedMs: number): void {
@@ -220,7 +220,7 @@
   /**
    * Records the end of an online request.
    *
-   * @param id - The id of the request.
+   * @param id - The ID of the request.
    */
   ended(id: string): void {
     this.startTimes.delete(id);
--- a/packages/core/src/lib/process/load_report.ts
+++ b/packages/core/src/lib/process/load_report.ts
@@ -17,8 +17,8 @@
   readonly targetId: string;
   readonly dataCentre: string;
   /**
-   * Increases with each report of one process start. Receivers ignore reports
-   * with a lower number than the last one.
+   * Increases with each report of one process incarnation. Receivers ignore
+   * reports with a lower number than the last one.
    */
   readonly sequence: number;
   /** Whether the target is draining and accepts no new work. */
--- a/packages/core/src/lib/process/prefix_cache_model.ts
+++ b/packages/core/src/lib/process/prefix_cache_model.ts
@@ -88,7 +88,7 @@
   }
 
   /**
-   * @param id - The id of a request.
+   * @param id - The ID of a request.
    * @returns The estimated length of its cached prefix, in tokens.
    */
   cachedTokens(id: string): number {
@@ -102,7 +102,7 @@
   /**
    * Records the prefix of a request that left the engine.
    *
-   * @param id - The id of the request.
+   * @param id - The ID of the request.
    * @param tokens - Number of its prompt and output tokens that were computed.
    */
   recordCached(id: string, tokens: number): void {
--- a/packages/core/src/lib/process/quota_bucket.ts
+++ b/packages/core/src/lib/process/quota_bucket.ts
@@ -20,9 +20,9 @@
 }
 
 /**
- * Fractions of the tolerance by purpose. A host that cannot reach the counting
- * host is granted nothing by it. Therefore, with up to half of the hosts
- * unreachable, or with the counting host lost and replaced, all parts together
+ * Fractions of the tolerance by purpose. A host that cannot reach the quota
+ * owner is granted nothing by it. Therefore, with up to half of the hosts
+ * unreachable, or with the quota owner lost and replaced, all parts together
  * stay within one tolerance.
  */
 const TOLERANCE_FRACTIONS = {
@@ -34,7 +34,7 @@
   /** Initial level at a host that has no record of earlier requests. */
   start: 0.25,
   /**
-   * For all hosts together if none can reach the counting host; half of it is
+   * For all hosts together if none can reach the quota owner; half of it is
    * available at once.
    */
   outOfTouch: 1,
@@ -66,7 +66,7 @@
 
 const GRANTED: QuotaVerdict = {kind: 'granted'};
 
-/** The requests that an account may still send, kept at its counting host. */
+/** The requests that an account may still send, kept at its quota owner. */
 export class QuotaBucket {
   private level: number;
   /** Times of the scheduled retries that are still to come, in milliseconds. */
--- a/packages/core/src/lib/process/quota_enforcer.ts
+++ b/packages/core/src/lib/process/quota_enforcer.ts
@@ -1,6 +1,6 @@
 /**
- * Enforces the quotas of the client accounts that this host counts on behalf of
- * all hosts.
+ * Enforces the quotas of the client accounts whose quota owner is this host, on
+ * behalf of all hosts.
  */
 import type {RequestQuota} from '../version/client_account.js';
 import {
@@ -57,10 +57,10 @@
   }
 
   /**
-   * Applies a new assignment of accounts to counting hosts.
+   * Applies a new assignment of accounts to quota owners.
    *
-   * @param counts - Whether this host counts an account; the buckets of others
-   *     are removed.
+   * @param counts - Whether this host is the quota owner of an account; the
+   *     buckets of others are removed.
    * @param now - Time on a monotonic clock, in milliseconds.
    */
   retain(counts: (account: string) => boolean, now: number): void {
--- a/packages/core/src/lib/process/quota_reserve.ts
+++ b/packages/core/src/lib/process/quota_reserve.ts
@@ -1,6 +1,5 @@
 /**
- * Requests that a host admits for an account whose counting host it cannot
- * reach.
+ * Requests that a host admits for an account whose quota owner it cannot reach.
  *
  * Guards against a network partition that refuses all requests of an account,
  * and against one in which each host grants the whole quota. All unreachable
--- a/packages/core/src/lib/process/running_set.ts
+++ b/packages/core/src/lib/process/running_set.ts
@@ -99,7 +99,7 @@
   }
 
   /**
-   * @param id - The id of a request.
+   * @param id - The ID of a request.
    * @returns The request; undefined if the engine does not hold it.
    */
   get(id: string): RunningRequest | undefined {
@@ -150,7 +150,7 @@
   /**
    * Marks a request as prefilled.
    *
-   * @param id - The id of the request.
+   * @param id - The ID of the request.
    * @returns The request; undefined if it was not being prefilled.
    */
   firstToken(id: string): RunningRequest | undefined {
@@ -168,7 +168,7 @@
   /**
    * Counts generated tokens of a request.
    *
-   * @param id - The id of the request.
+   * @param id - The ID of the request.
    * @param count - Number of tokens.
    * @returns The request; undefined if the engine does not hold it.
    */
@@ -196,7 +196,7 @@
   /**
    * Removes a request that the engine no longer holds.
    *
-   * @param id - The id of the request.
+   * @param id - The ID of the request.
    * @returns The request; undefined if the engine did not hold it.
    */
   end(id: string): RunningRequest | undefined {
--- a/packages/core/src/lib/process/scheduler_queues.ts
+++ b/packages/core/src/lib/process/scheduler_queues.ts
@@ -41,7 +41,7 @@
   }
 
   /**
-   * @param id - The id of the request to remove.
+   * @param id - The ID of the request to remove.
    * @returns Whether the request was queued.
    */
   remove(id: string): boolean {
--- a/packages/core/src/lib/process/service_latency.ts
+++ b/packages/core/src/lib/process/service_latency.ts
@@ -6,9 +6,9 @@
 
 /** Latency of a run at a target with a free slot. */
 export interface ServiceLatency {
-  /** Time from sending to the first byte of the answer, in milliseconds. */
+  /** Time from sending to the first byte of the response, in milliseconds. */
   readonly firstByteMs: number;
-  /** Time from sending to the end of the answer, in milliseconds. */
+  /** Time from sending to the end of the response, in milliseconds. */
   readonly runMs: number;
 }
 
@@ -36,7 +36,7 @@
   /**
    * Adds a run to the mean.
    *
-   * @param run - The latency of a run that found a free slot and was answered.
+   * @param run - The latency of a run that found a free slot and completed.
    */
   add(run: ServiceLatency): void {
     this.runs++;
--- a/packages/core/src/lib/process/step_detector.ts
+++ b/packages/core/src/lib/process/step_detector.ts
@@ -37,7 +37,7 @@
   /**
    * Records a token.
    *
-   * @param id - The id of the stream.
+   * @param id - The ID of the stream.
    * @param now - Time in milliseconds.
    * @returns The duration of the step that the token completes, in
    *     milliseconds; undefined if it is not the first token of that step.
--- a/packages/core/src/lib/request/queue_limits.ts
+++ b/packages/core/src/lib/request/queue_limits.ts
@@ -66,17 +66,17 @@
 /**
  * @param slots - Number of requests that the target runs at once.
  * @param demand - The request.
- * @param pace - Observed latency of the service; undefined if unknown.
+ * @param latency - Observed latency of the service; undefined if unknown.
  * @returns The maximum number of requests, including this one, that may wait
  *     for the target.
  */
 export function maxQueueLength(
   slots: number,
   demand: WaitDemand,
-  pace: ServiceLatency | undefined,
+  latency: ServiceLatency | undefined,
 ): number {
   const steps = Math.min(demand.priority, LOWEST_PRIORITY);
-  if (!pace)
+  if (!latency)
     return Math.ceil(
       slots * (DEFAULT_QUEUE_FRACTION - steps * DEFAULT_QUEUE_FRACTION_STEP),
     );
@@ -84,9 +84,9 @@
     QUEUE_WAIT_FRACTION -
     steps * QUEUE_WAIT_FRACTION_STEP +
     (demand.returning ? RETRY_QUEUE_WAIT_BONUS : 0);
-  const waitMs = (demand.goalMs - pace.firstByteMs) * fraction;
+  const waitMs = (demand.goalMs - latency.firstByteMs) * fraction;
   // With n slots, one becomes free every n-th part of a run.
-  return Math.max(0, Math.floor((waitMs * slots) / pace.runMs));
+  return Math.max(0, Math.floor((waitMs * slots) / latency.runMs));
 }
 
 /**
--- a/packages/core/src/test/connection/target_choice_test.ts
+++ b/packages/core/src/test/connection/target_choice_test.ts
@@ -113,11 +113,11 @@
   const names = ['t0', 't1', 't2', 't3'];
   const chooser = chooserWith(...names.map(name => report(name)));
   const req = choiceRequest({prefix: 'policy-7'});
-  const home = chooser.choose(req)!;
-  for (let i = 0; i < 5; i++) t.is(chooser.choose(req), home);
+  const preferred = chooser.choose(req)!;
+  for (let i = 0; i < 5; i++) t.is(chooser.choose(req), preferred);
   const counts = chooseRepeatedly(chooser, 40, req);
-  t.true(counts.get(home)! < 30);
-  t.true(counts.get(home)! >= 10);
+  t.true(counts.get(preferred)! < 30);
+  t.true(counts.get(preferred)! >= 10);
 });
 
 test('prefers a target that has the adapter loaded', t => {
--- a/packages/core/src/test/fakes/burst_fleet.ts
+++ b/packages/core/src/test/fakes/burst_fleet.ts
@@ -37,9 +37,12 @@
 
 /** Policy under test; each host has its own instance. */
 export interface BurstPolicy {
-  maxQueueLength(demand: WaitDemand, pace: ServiceLatency | undefined): number;
+  maxQueueLength(
+    demand: WaitDemand,
+    latency: ServiceLatency | undefined,
+  ): number;
   maxQueueWaitMs(demand: WaitDemand): number;
-  returnAfterMs(now: number, latestMs: number, runMs?: number): number;
+  returnAfterMs(now: number, maxDelayMs: number, runMs?: number): number;
 }
 
 /** Number of requests by outcome. */
@@ -83,7 +86,7 @@
 ): BurstOutcome {
   const random = seededRandom(load.seed);
   const policies = [...Array(load.hosts).keys()].map(() => policyOf(random));
-  const learners = policies.map(() => new ServiceLatencyEstimator());
+  const latencyEstimators = policies.map(() => new ServiceLatencyEstimator());
   const running: Run[][] = [...Array(load.targets).keys()].map(() => []);
   const outcome: BurstOutcome = {
     requests: 0,
@@ -103,10 +106,10 @@
     returning,
   });
   const tryStart = (caller: Caller, now: number): boolean => {
-    const pace = learners[caller.host]!.latency;
+    const latency = latencyEstimators[caller.host]!.latency;
     const demand = demandOf(caller);
     const capacity =
-      load.slots + policies[caller.host]!.maxQueueLength(demand, pace);
+      load.slots + policies[caller.host]!.maxQueueLength(demand, latency);
     // Up to half a request of jitter, as hosts select among equal targets.
     const scores = running.map(
       (runs, i) => loadSeenBy(caller.host, i, runs) + random.float() / 2,
@@ -122,7 +125,10 @@
     const startsAt = Math.max(now, freeAt);
     runs.push({caller, runMs, startsAt});
     if (startsAt === now)
-      learners[caller.host]!.add({firstByteMs: load.firstByteMs, runMs});
+      latencyEstimators[caller.host]!.add({
+        firstByteMs: load.firstByteMs,
+        runMs,
+      });
     recordAnswer(caller, startsAt + load.firstByteMs);
     return true;
   };
@@ -145,7 +151,7 @@
       return;
     }
     const leftMs = load.callerTimeoutMs - (now - caller.arrivedAt);
-    const {runMs} = learners[caller.host]!.latency ?? {};
+    const {runMs} = latencyEstimators[caller.host]!.latency ?? {};
     const delayMs = policies[caller.host]!.returnAfterMs(
       now,
       leftMs * MAX_RETRY_DELAY_FRACTION,
--- a/packages/core/src/test/request/burst_replay_test.ts
+++ b/packages/core/src/test/request/burst_replay_test.ts
@@ -90,15 +90,15 @@
   (random: Random): BurstPolicy => {
     const retries = new RetryScheduler(random);
     return {
-      maxQueueLength: (demand: WaitDemand, pace?: ServiceLatency) =>
-        maxQueueLength(slots, demand, pace),
+      maxQueueLength: (demand: WaitDemand, latency?: ServiceLatency) =>
+        maxQueueLength(slots, demand, latency),
       maxQueueWaitMs: maxQueueWaitMs,
-      returnAfterMs: (now, latestMs, runMs) =>
+      returnAfterMs: (now, maxDelayMs, runMs) =>
         retries.scheduleRetry(now, {
           runMs,
           slots: slots * targets,
           hosts,
-          maxDelayMs: latestMs,
+          maxDelayMs,
         }),
     };
   };
--- a/packages/gateway/src/lib/connection/load_intervals.ts
+++ b/packages/gateway/src/lib/connection/load_intervals.ts
@@ -26,7 +26,7 @@
    * If the rate limit requires a longer interval, a sum for the data centre is
    * relayed instead.
    */
-  readonly directFarMs: number;
+  readonly maxDirectRemoteMs: number;
   /**
    * Interval at which a host sends the sum of its data centre to each other
    * data centre, in milliseconds.
@@ -44,16 +44,16 @@
    */
   | {
       readonly kind: 'relayed';
-      readonly nearMs: number;
+      readonly localMs: number;
       readonly relayMs: number;
     };
 
 /** Minimum intervals between two reports to the same host, in milliseconds. */
 export interface LoadIntervals {
   /** Interval for hosts of the same data centre. */
-  readonly nearMs: number;
+  readonly localMs: number;
   /** Interval for hosts of other data centres. */
-  readonly farMs: number;
+  readonly remoteMs: number;
 }
 
 /** Maximum share of the datagram rate that is used for the own data centre. */
@@ -72,16 +72,16 @@
   {periodMs, maxDatagramsPerSecond}: LoadRateOptions,
 ): LoadIntervals {
   const uniformMs = intervalMs(localHosts + remoteHosts, maxDatagramsPerSecond);
-  if (uniformMs <= periodMs) return {nearMs: periodMs, farMs: periodMs};
+  if (uniformMs <= periodMs) return {localMs: periodMs, remoteMs: periodMs};
   const localShare = remoteHosts === 0 ? 1 : MAX_LOCAL_SHARE;
-  const nearMs = Math.max(
+  const localMs = Math.max(
     periodMs,
     intervalMs(localHosts, maxDatagramsPerSecond * localShare),
   );
-  const localRate = (localHosts * MS_PER_SECOND) / nearMs;
+  const localRate = (localHosts * MS_PER_SECOND) / localMs;
   return {
-    nearMs,
-    farMs: intervalMs(remoteHosts, maxDatagramsPerSecond - localRate),
+    localMs,
+    remoteMs: intervalMs(remoteHosts, maxDatagramsPerSecond - localRate),
   };
 }
 
@@ -100,12 +100,12 @@
   options: LoadPlanOptions,
 ): LoadPlan {
   const intervals = loadIntervals(localHosts, remoteHosts, options);
-  const {periodMs, maxDatagramsPerSecond, directFarMs, relayMs} = options;
-  if (remoteHosts === 0 || intervals.farMs <= directFarMs)
+  const {periodMs, maxDatagramsPerSecond, maxDirectRemoteMs, relayMs} = options;
+  if (remoteHosts === 0 || intervals.remoteMs <= maxDirectRemoteMs)
     return {kind: 'direct', ...intervals};
   const relayRate = (remoteDataCentres * MS_PER_SECOND) / relayMs;
-  const nearMs = intervalMs(localHosts, maxDatagramsPerSecond - relayRate);
-  return {kind: 'relayed', nearMs: Math.max(periodMs, nearMs), relayMs};
+  const localMs = intervalMs(localHosts, maxDatagramsPerSecond - relayRate);
+  return {kind: 'relayed', localMs: Math.max(periodMs, localMs), relayMs};
 }
 
 function intervalMs(hosts: number, perSecond: number): number {
--- a/packages/gateway/src/lib/process/caller_admission.ts
+++ b/packages/gateway/src/lib/process/caller_admission.ts
@@ -56,13 +56,13 @@
   constructor(private readonly context: AdmissionContext) {}
 
   /** Whether the configuration has client accounts. */
-  get inForce(): boolean {
+  get hasAccounts(): boolean {
     return this.context.routing.current?.table.accounts !== undefined;
   }
 
   /** Whether this host can currently admit callers by key. */
   get canAdmitByKey(): boolean {
-    return !this.inForce || this.context.freshness.isValid;
+    return !this.hasAccounts || this.context.freshness.isValid;
   }
 
   /**
--- a/packages/gateway/src/lib/process/load_reporter.ts
+++ b/packages/gateway/src/lib/process/load_reporter.ts
@@ -34,7 +34,7 @@
 export const DEFAULT_LOAD_REPORT_OPTIONS: LoadReportOptions = {
   periodMs: 60,
   maxDatagramsPerSecond: 150,
-  directFarMs: 333,
+  maxDirectRemoteMs: 333,
   relayMs: 500,
   coordinatorRelayMs: 200,
   keepaliveMs: 1000,
@@ -145,11 +145,11 @@
       this.options,
     );
     this.setRelayed(plan.kind === 'relayed');
-    const reports = this.ownLoadReports(this.localGroup, local, plan.nearMs);
+    const reports = this.ownLoadReports(this.localGroup, local, plan.localMs);
     if (plan.kind === 'direct')
       return [
         ...reports,
-        ...this.ownLoadReports(this.remoteGroup, remotePeers, plan.farMs),
+        ...this.ownLoadReports(this.remoteGroup, remotePeers, plan.remoteMs),
       ];
     this.elect(local, remote);
     return [
--- a/packages/gateway/src/lib/process/placement.ts
+++ b/packages/gateway/src/lib/process/placement.ts
@@ -40,7 +40,7 @@
  * the own view: requests that other hosts have sent in the meantime fit beside
  * the new one.
  */
-const OWN_VIEW_LOAD_SHARE = 0.5;
+const LOCAL_VIEW_LOAD_SHARE = 0.5;
 
 /**
  * Maximum number of excluded targets in a placement request, which must fit
@@ -79,7 +79,10 @@
 export type RequestPlacement = Pick<Placement<LoadPeer>, 'forRequest'>;
 
 /** Placement of batch items. */
-export type ItemPlacement = Pick<Placement<LoadPeer>, 'forItem' | 'asksOthers'>;
+export type ItemPlacement = Pick<
+  Placement<LoadPeer>,
+  'forItem' | 'usesPeerCoordinator'
+>;
 
 type AnswerHandler = (targetId: string | undefined) => void;
 
@@ -95,7 +98,7 @@
   constructor(private readonly context: PlacementContext<P>) {}
 
   /** Whether placement requests currently go to another host. */
-  get asksOthers(): boolean {
+  get usesPeerCoordinator(): boolean {
     return this.coordinator() !== undefined;
   }
 
@@ -122,13 +125,16 @@
     const {chooser} = this.context;
     const own = chooser.forRequest(service, demand, tried);
     const coordinator = this.coordinator();
-    if (!coordinator || (own && chooser.isLoadBelow(own, OWN_VIEW_LOAD_SHARE)))
+    if (
+      !coordinator ||
+      (own && chooser.isLoadBelow(own, LOCAL_VIEW_LOAD_SHARE))
+    )
       return own;
-    const wish = {lane: 'online', demand, near: false} as const;
+    const criteria = {lane: 'online', demand, near: false} as const;
     const answer = await this.requestPlacement(
       coordinator,
       service,
-      wish,
+      criteria,
       tried,
     );
     return answer === 'silent'
@@ -153,8 +159,8 @@
     const other =
       dataCentre === self.dataCentre ? undefined : coordinatorOf(dataCentre);
     if (!other || this.isPaused(other)) return first;
-    const wish = {lane: 'online', demand, near: true} as const;
-    const answer = await this.requestPlacement(other, service, wish, tried);
+    const criteria = {lane: 'online', demand, near: true} as const;
+    const answer = await this.requestPlacement(other, service, criteria, tried);
     if (answer === 'silent') return first;
     return answer ?? chooser.forLocalRequest(service, demand, tried);
   }
@@ -208,18 +214,18 @@
   private async requestPlacement(
     coordinator: P,
     service: string,
-    wish: PlacementCriteria,
+    criteria: PlacementCriteria,
     tried: ReadonlySet<string>,
   ): Promise<Target | undefined | 'silent'> {
     const {self, send, counters} = this.context;
     const askId = ++this.askId;
     const excluded = this.excludedTargets(service, tried);
-    const ask = {host: self.id, askId, service, wish, excluded};
+    const request = {host: self.id, askId, service, wish: criteria, excluded};
     const answered = this.awaitAnswer(askId);
-    send({kind: 'ask', ...ask}, coordinator);
+    send({kind: 'ask', ...request}, coordinator);
     const answer = await answered;
     const outcome = answer === 'silent' ? 'silent' : answer ? 'place' : 'full';
-    counters.count('placement_asks', {lane: wish.lane, outcome});
+    counters.count('placement_asks', {lane: criteria.lane, outcome});
     if (answer === 'silent') this.recordTimeout(coordinator);
     else this.failures.delete(coordinator.id);
     if (answer === undefined || answer === 'silent') return answer;
@@ -272,13 +278,13 @@
     log.event('coordinator-silent', {coordinator: id, pauseMs: PAUSE_MS});
   }
 
-  private handleRequest(ask: PlacementRequest): void {
+  private handleRequest(request: PlacementRequest): void {
     const {localCoordinator: coordinator, peer, send} = this.context;
-    const to = peer(ask.host);
+    const to = peer(request.host);
     // A sender that is not known yet times out and uses its own view.
     if (!to) return;
-    const {target, itemsToPreempt} = coordinator.place(ask, to.dataCentre);
-    send({kind: 'grant', askId: ask.askId, targetId: target?.id}, to);
+    const {target, itemsToPreempt} = coordinator.place(request, to.dataCentre);
+    send({kind: 'grant', askId: request.askId, targetId: target?.id}, to);
     if (!target) return;
     for (const {host, items} of itemsToPreempt) {
       const holder = peer(host);
--- a/packages/gateway/src/lib/process/service_overload.ts
+++ b/packages/gateway/src/lib/process/service_overload.ts
@@ -24,8 +24,8 @@
 }
 
 interface ServiceObservations {
-  readonly learner: ServiceLatencyEstimator;
-  readonly returns: RetryScheduler;
+  readonly latencyEstimator: ServiceLatencyEstimator;
+  readonly retryScheduler: RetryScheduler;
 }
 
 /** Observations by service. */
@@ -40,32 +40,32 @@
    * @param run - Latencies of a run that found a free slot.
    */
   recordRun(service: string, run: ServiceLatency): void {
-    this.observationsOf(service).learner.add(run);
+    this.observationsOf(service).latencyEstimator.add(run);
   }
 
   /** @returns How many requests with this demand may be queued at a target. */
   maxQueued({service, slots}: Target, demand: WaitDemand): number {
-    const pace = this.services.get(service)?.learner.latency;
-    return maxQueueLength(slots, demand, pace);
+    const latency = this.services.get(service)?.latencyEstimator.latency;
+    return maxQueueLength(slots, demand, latency);
   }
 
   /**
    * @param service - Service without a free place for the request.
-   * @param latestMs - Longest retry delay that the caller accepts, in
+   * @param maxDelayMs - Longest retry delay that the caller accepts, in
    *     milliseconds.
    * @returns The retry delay, in milliseconds.
    */
-  returnAfterMs(service: string, latestMs: number): number {
+  returnAfterMs(service: string, maxDelayMs: number): number {
     const {clock, directory, hosts} = this.context;
-    const {learner, returns} = this.observationsOf(service);
+    const {latencyEstimator, retryScheduler} = this.observationsOf(service);
     const targets = directory.ofService(service);
     const slots = targets.reduce((sum, target) => sum + target.slots, 0);
-    const runMs = learner.latency?.runMs;
-    return returns.scheduleRetry(clock.now(), {
+    const runMs = latencyEstimator.latency?.runMs;
+    return retryScheduler.scheduleRetry(clock.now(), {
       runMs,
       slots,
       hosts: hosts(),
-      maxDelayMs: latestMs,
+      maxDelayMs,
     });
   }
 
@@ -73,8 +73,8 @@
     const known = this.services.get(service);
     if (known) return known;
     const observed: ServiceObservations = {
-      learner: new ServiceLatencyEstimator(),
-      returns: new RetryScheduler(this.context.random),
+      latencyEstimator: new ServiceLatencyEstimator(),
+      retryScheduler: new RetryScheduler(this.context.random),
     };
     this.services.set(service, observed);
     return observed;
--- a/packages/gateway/src/lib/request/online_request.ts
+++ b/packages/gateway/src/lib/request/online_request.ts
@@ -47,7 +47,7 @@
   readonly chooser: TargetChooser;
   readonly placement: RequestPlacement;
   readonly random: Random;
-  readonly crashes: CrashSuspects;
+  readonly crashSuspects: CrashSuspects;
   readonly retryDetector: CallerRetryDetector;
   readonly admission: CallerAdmission;
 }
@@ -150,7 +150,7 @@
 
   /** @returns Whether the request is finished. */
   private async attempt(): Promise<boolean> {
-    if (this.context.crashes.isBlocked(this.fingerprint))
+    if (this.context.crashSuspects.isBlocked(this.fingerprint))
       return this.giveUp('suspect');
     const target = await this.findTarget();
     if (this.abortReason) return this.giveUp(this.abortReason);
@@ -193,7 +193,7 @@
   }
 
   private senderAccount(): SenderAccount | undefined {
-    if (!this.context.admission.inForce) return undefined;
+    if (!this.context.admission.hasAccounts) return undefined;
     return {name: this.admitted.account?.name};
   }
 
@@ -239,7 +239,7 @@
   /** @returns Whether the request is finished. */
   private handleOutcome(outcome: ExchangeOutcome, target: Target): boolean {
     if (!this.writer.hasStarted && mayHaveCrashed(outcome))
-      this.context.crashes.recordBrokenRun(this.fingerprint, target.id);
+      this.context.crashSuspects.recordBrokenRun(this.fingerprint, target.id);
     switch (outcome.kind) {
       case 'answered':
         // The target was asked to resume a stream and sent another response
@@ -247,7 +247,7 @@
         if (this.writer.hasStarted) return this.retryOrGiveUp('failed', target);
         if (outcome.head.status >= STATUS_SERVER_ERROR && this.canRetry())
           return this.recordFailedResponse(outcome, target);
-        this.context.crashes.recordAnswer(this.fingerprint);
+        this.context.crashSuspects.recordAnswer(this.fingerprint);
         this.writer.sendComplete(outcome.head, outcome.body);
         return this.finish('answered', outcome.head.status, target);
       case 'streamed':
@@ -339,8 +339,8 @@
   private retryDelayMs(): number {
     const {protocol, overload} = this.context;
     const leftMs = this.deadlineAt - this.now();
-    const latestMs = protocol.maxRetryAfterMs(leftMs);
-    return overload.returnAfterMs(this.service, latestMs);
+    const maxDelayMs = protocol.maxRetryAfterMs(leftMs);
+    return overload.returnAfterMs(this.service, maxDelayMs);
   }
 
   private abort(by: AbortReason): void {
--- a/packages/gateway/src/test/fakes/fleet_simulator.ts
+++ b/packages/gateway/src/test/fakes/fleet_simulator.ts
@@ -81,7 +81,7 @@
   /**
    * Whether slots in other data centres are requested from their coordinators.
    */
-  readonly asksRemoteCoordinators?: boolean;
+  readonly usesRemoteCoordinators?: boolean;
   /** Time after which coordinators no longer reply, in milliseconds. */
   readonly coordinatorsFailAtMs?: number;
 }
@@ -90,7 +90,7 @@
 export interface FleetOutcome {
   requests: number;
   inTime: number;
-  inTimeOnReturn: number;
+  inTimeOnRetry: number;
   late: number;
   failed: number;
   /**
@@ -99,13 +99,13 @@
    */
   unplaced: number;
   /** Batch items that were preempted, and that were completed. */
-  itemsCut: number;
+  itemsPreempted: number;
   itemsDone: number;
   /**
    * Messages sent by hosts, and bytes of load reports to other data centres.
    */
   messages: number;
-  farBytes: number;
+  remoteBytes: number;
 }
 
 interface Caller {
@@ -161,14 +161,14 @@
   private readonly outcome: FleetOutcome = {
     requests: 0,
     inTime: 0,
-    inTimeOnReturn: 0,
+    inTimeOnRetry: 0,
     late: 0,
     failed: 0,
     unplaced: 0,
-    itemsCut: 0,
+    itemsPreempted: 0,
     itemsDone: 0,
     messages: 0,
-    farBytes: 0,
+    remoteBytes: 0,
   };
   private waiting: Caller[] = [];
   private retrying: Caller[] = [];
@@ -183,8 +183,10 @@
     private readonly options: FleetOptions,
   ) {
     this.random = seededRandom(load.seed);
-    const places = [...Array(load.dataCentres).keys()].map(i => `dc${i}`);
-    this.targets = places.flatMap(dataCentre =>
+    const dataCentreNames = [...Array(load.dataCentres).keys()].map(
+      i => `dc${i}`,
+    );
+    this.targets = dataCentreNames.flatMap(dataCentre =>
       [...Array(load.targets).keys()].map(i =>
         newTarget(`${dataCentre}-t${i}`, {
           dataCentre,
@@ -194,7 +196,7 @@
       ),
     );
     for (const {id} of this.targets) this.runs.set(id, []);
-    this.hosts = places.flatMap(dataCentre =>
+    this.hosts = dataCentreNames.flatMap(dataCentre =>
       [...Array(load.hosts).keys()].map(i =>
         this.newHost(`${dataCentre}-h${i}`, dataCentre),
       ),
@@ -270,7 +272,7 @@
       coordinator: () =>
         this.options.coordinated ? reporter.coordinator : undefined,
       coordinatorOf: name =>
-        this.options.asksRemoteCoordinators
+        this.options.usesRemoteCoordinators
           ? reporter.coordinatorOf(name)
           : undefined,
       peer: peer => this.hosts.find(one => one.id === peer),
@@ -312,9 +314,8 @@
   private post(message: PlacementMessage, to: Host): void {
     const bytes = encodePlacement(message);
     this.outcome.messages++;
-    const {coordinatorsFailAtMs: coordinatorsLostAtMs = Infinity} =
-      this.options;
-    if (message.kind === 'ask' && this.now >= coordinatorsLostAtMs) return;
+    const {coordinatorsFailAtMs = Infinity} = this.options;
+    if (message.kind === 'ask' && this.now >= coordinatorsFailAtMs) return;
     this.undeliveredMessages.push(() =>
       to.placement.receive(decodePlacement(bytes)!),
     );
@@ -345,9 +346,11 @@
   }
 
   private pickHost(): Host {
-    const {hosts, dataCentres, firstDataCentreWeight: crowding = 1} = this.load;
-    const place = this.random.float() * (dataCentres - 1 + crowding) - crowding;
-    const dataCentre = place < 0 ? 0 : 1 + Math.floor(place);
+    const {hosts, dataCentres, firstDataCentreWeight = 1} = this.load;
+    const position =
+      this.random.float() * (dataCentres - 1 + firstDataCentreWeight) -
+      firstDataCentreWeight;
+    const dataCentre = position < 0 ? 0 : 1 + Math.floor(position);
     return this.hosts[dataCentre * hosts + this.random.int(hosts)]!;
   }
 
@@ -368,9 +371,12 @@
       return;
     }
     const leftMs = this.load.callerTimeoutMs - (this.now - caller.arrivedAt);
-    const latestMs = leftMs * MAX_RETRY_DELAY_SHARE;
-    const inMs = caller.host.overload.returnAfterMs(SERVICE, latestMs);
-    const lastArrivalAt = this.now + inMs;
+    const maxDelayMs = leftMs * MAX_RETRY_DELAY_SHARE;
+    const retryDelayMs = caller.host.overload.returnAfterMs(
+      SERVICE,
+      maxDelayMs,
+    );
+    const lastArrivalAt = this.now + retryDelayMs;
     const host = this.pickHost();
     this.retrying.push({
       ...caller,
@@ -418,7 +424,7 @@
     const {goalMs, firstByteMs} = this.load;
     const {lastArrivalAt, returning} = run.caller;
     if (this.now + firstByteMs - lastArrivalAt > goalMs) this.outcome.late++;
-    else if (returning) this.outcome.inTimeOnReturn++;
+    else if (returning) this.outcome.inTimeOnRetry++;
     else this.outcome.inTime++;
   }
 
@@ -432,8 +438,8 @@
     if (run.caller && run.hadFreeSlot) {
       const runMs = this.now - run.sentAt;
       const waitedMs = run.startsAt! - run.sentAt;
-      const pace = {firstByteMs: waitedMs + firstByteMs, runMs};
-      run.host.overload.recordRun(SERVICE, pace);
+      const latency = {firstByteMs: waitedMs + firstByteMs, runMs};
+      run.host.overload.recordRun(SERVICE, latency);
     }
   }
 
@@ -479,7 +485,7 @@
         );
         this.outcome.messages++;
         if (peer.dataCentre !== host.dataCentre)
-          this.outcome.farBytes += bytes.length;
+          this.outcome.remoteBytes += bytes.length;
       }
     }
   }
@@ -497,7 +503,7 @@
       .get(targetId)!
       .filter(({host, caller}) => host.id === hostId && !caller);
     for (const run of items.slice(-count)) {
-      this.outcome.itemsCut++;
+      this.outcome.itemsPreempted++;
       run.host.itemsWaiting.push(this.now + PREEMPTED_ITEM_WAIT_MS);
       this.remove(target, run);
     }
--- a/packages/gateway/src/test/process/crash_suspects_test.ts
+++ b/packages/gateway/src/test/process/crash_suspects_test.ts
@@ -22,14 +22,13 @@
   const store = new MemoryRowStore(clock);
   const log = NO_EVENT_LOG;
   const directory = new TargetDirectory({clock, log});
-  const lapseMs = () => EXPIRY_MS;
   return {
     suspects: new CrashSuspects({
       store,
       clock,
       log,
       directory,
-      expiryMs: lapseMs,
+      expiryMs: () => EXPIRY_MS,
     }),
     directory,
     advance: (ms: number) => {
@@ -45,12 +44,12 @@
   };
 }
 
-function updateOf(print: string, targets: readonly string[]) {
+function updateOf(requestFingerprint: string, targets: readonly string[]) {
   const value = Buffer.from(JSON.stringify({targets, at: Date.now()}));
   const row = {
     table: SUSPECT_TABLE,
     partition: '',
-    key: print,
+    key: requestFingerprint,
     value,
     version: 1,
   };
--- a/packages/gateway/src/test/process/load_reporter_test.ts
+++ b/packages/gateway/src/test/process/load_reporter_test.ts
@@ -25,7 +25,7 @@
   const table = new LoadTable(() => now);
   const self = {id: 'a-self', dataCentre: 'a'};
   const context = {self, table, now: () => now, random: seededRandom(1)};
-  const telling = new LoadReporter<LoadPeer>(
+  const reporter = new LoadReporter<LoadPeer>(
     context,
     DEFAULT_LOAD_REPORT_OPTIONS,
   );
@@ -33,12 +33,12 @@
     const until = now + forMs;
     const found = [];
     for (; now < until; now += DEFAULT_LOAD_REPORT_OPTIONS.periodMs) {
-      const due = telling.takeDueReports(peers);
+      const due = reporter.takeDueReports(peers);
       found.push(...due.filter(({message}) => message.sumOf > 0));
     }
     return found;
   };
-  return {table, telling, sums};
+  return {table, reporter, sums};
 }
 
 function reportOf(rest: Partial<LoadMessage>): LoadMessage {
@@ -49,17 +49,17 @@
 const MANY = DATA_CENTRES.flatMap(name => hostsOf(name, HOSTS));
 
 test('in a large fleet one host of each other data centre gets a sum per round', t => {
-  const {telling, sums} = newHost();
-  telling.takeDueReports(MANY);
+  const {reporter, sums} = newHost();
+  reporter.takeDueReports(MANY);
   for (const {id: host, dataCentre} of hostsOf('a', 3))
-    telling.receive(reportOf({host, dataCentre}));
-  const told = sums(MANY, 2000);
-  t.true(told.length > 0);
-  for (const {message, peers} of told) {
+    reporter.receive(reportOf({host, dataCentre}));
+  const reports = sums(MANY, 2000);
+  t.true(reports.length > 0);
+  for (const {message, peers} of reports) {
     t.deepEqual(peers.map(({dataCentre}) => dataCentre).sort(), ['b', 'c']);
     t.true(message.sumOf >= 1);
   }
-  t.is(told[0]!.message.load.get('t')?.online, 6);
+  t.is(reports[0]!.message.load.get('t')?.online, 6);
 });
 
 // Targets look free to a whole data centre for seconds: the one host that
@@ -68,8 +68,8 @@
 test('sums go to the hosts of a data centre in turn', t => {
   const {sums} = newHost();
   // Two rounds for each host, because timers are up to one period late.
-  const told = sums(MANY, 2 * HOSTS * DEFAULT_LOAD_REPORT_OPTIONS.relayMs);
-  const receivers = told.flatMap(({peers}) => peers.map(({id}) => id));
+  const reports = sums(MANY, 2 * HOSTS * DEFAULT_LOAD_REPORT_OPTIONS.relayMs);
+  const receivers = reports.flatMap(({peers}) => peers.map(({id}) => id));
   t.true(new Set(receivers).size === 2 * HOSTS, `${new Set(receivers).size}`);
 });
 
@@ -88,25 +88,25 @@
 // reports its load to all, and another includes it in the sum that it reports.
 test('a load reported individually and in a sum counts once', t => {
   const large = newHost();
-  large.telling.takeDueReports(MANY);
-  large.telling.receive(reportOf({host: 'b-1', sumOf: 3}));
-  large.telling.receive(reportOf({host: 'b-2'}));
+  large.reporter.takeDueReports(MANY);
+  large.reporter.receive(reportOf({host: 'b-1', sumOf: 3}));
+  large.reporter.receive(reportOf({host: 'b-2'}));
   t.deepEqual(large.table.totalAt('t'), {online: 2, batch: 1});
   const small = newHost();
-  small.telling.takeDueReports(hostsOf('b', 2));
-  small.telling.receive(reportOf({host: 'b-2'}));
-  small.telling.receive(reportOf({host: 'b-1', sumOf: 3}));
+  small.reporter.takeDueReports(hostsOf('b', 2));
+  small.reporter.receive(reportOf({host: 'b-2'}));
+  small.reporter.receive(reportOf({host: 'b-1', sumOf: 3}));
   t.deepEqual(small.table.totalAt('t'), {online: 2, batch: 1});
 });
 
 // A burst goes to full targets: a host that has just started and knows one
 // neighbour reports the load of its data centre.
 test('a sum over few hosts does not replace one over many', t => {
-  const {table, telling} = newHost();
-  telling.takeDueReports(MANY);
-  telling.receive(reportOf({host: 'b-1', sumOf: 20}));
-  telling.receive(reportOf({host: 'b-2', sumOf: 2, load: new Map()}));
+  const {table, reporter} = newHost();
+  reporter.takeDueReports(MANY);
+  reporter.receive(reportOf({host: 'b-1', sumOf: 20}));
+  reporter.receive(reportOf({host: 'b-2', sumOf: 2, load: new Map()}));
   t.deepEqual(table.totalAt('t'), {online: 2, batch: 1});
-  telling.receive(reportOf({host: 'b-3', sumOf: 19, load: new Map()}));
+  reporter.receive(reportOf({host: 'b-3', sumOf: 19, load: new Map()}));
   t.deepEqual(table.totalAt('t'), {online: 0, batch: 0});
 });
--- a/packages/gateway/src/test/process/membership_test.ts
+++ b/packages/gateway/src/test/process/membership_test.ts
@@ -47,11 +47,11 @@
 
 test('a host without heartbeats loses its lease and others keep theirs', t => {
   const members = newMembership();
-  const tell = feed(members);
+  const applyHeartbeats = feed(members);
   const silent = member('silent', '1');
   const live = member('live', '1');
-  tell(1, silent, live);
-  for (const second of [2, 3, 4, 5]) tell(second, live);
+  applyHeartbeats(1, silent, live);
+  for (const second of [2, 3, 4, 5]) applyHeartbeats(second, live);
   t.false(members.holdsLease(silent.id));
   t.true(members.holdsLease(live.id));
   t.deepEqual(
@@ -65,12 +65,12 @@
 // the time without responses from the store.
 test('no host is declared dead because of a store outage', t => {
   const members = newMembership();
-  const tell = feed(members);
+  const applyHeartbeats = feed(members);
   const other = member('other', '1');
-  tell(1, other);
-  tell(30);
+  applyHeartbeats(1, other);
+  applyHeartbeats(30);
   t.true(members.holdsLease(other.id));
-  for (const second of [31, 32, 33, 34]) tell(second);
+  for (const second of [31, 32, 33, 34]) applyHeartbeats(second);
   t.false(members.holdsLease(other.id));
 });
 
@@ -78,11 +78,11 @@
 // incarnation of its process proves at once that the previous one has ended.
 test('a process is known to have ended once its host runs another one', t => {
   const members = newMembership();
-  const tell = feed(members);
+  const applyHeartbeats = feed(members);
   const before = member('other', '1');
-  tell(1, before);
+  applyHeartbeats(1, before);
   t.false(members.isReplaced(before.id));
-  tell(2, member('other', '2'));
+  applyHeartbeats(2, member('other', '2'));
   t.true(members.isReplaced(before.id));
   t.true(members.isReplaced(memberId('me', '0')));
   t.false(members.isReplaced(memberId('unknown', '1')));
@@ -93,12 +93,12 @@
 // overwrites the row of the running one. Such a heartbeat must be ignored.
 test('a late heartbeat does not replace the next process incarnation', t => {
   const members = newMembership();
-  const tell = feed(members);
+  const applyHeartbeats = feed(members);
   const before = member('other', '1');
   const now = member('other', '2');
-  tell(1, before);
-  tell(2, now);
-  tell(3, before);
+  applyHeartbeats(1, before);
+  applyHeartbeats(2, now);
+  applyHeartbeats(3, before);
   t.false(members.isReplaced(now.id));
   t.true(members.holdsLease(now.id));
   t.false(members.holdsLease(before.id));
--- a/packages/gateway/src/test/process/placement_test.ts
+++ b/packages/gateway/src/test/process/placement_test.ts
@@ -42,7 +42,7 @@
     random,
   });
   const sent: Array<readonly [PlacementMessage, string]> = [];
-  const yielded: Array<readonly [string, number]> = [];
+  const preempted: Array<readonly [string, number]> = [];
   const placement = new Placement({
     self: {id, dataCentre},
     clock,
@@ -61,11 +61,11 @@
     coordinatorOf: () => undefined,
     peer: peer => ({id: peer, dataCentre}),
     send: (message, to) => sent.push([message, to.id]),
-    onPreempt: (targetId, items) => yielded.push([targetId, items]),
+    onPreempt: (targetId, items) => preempted.push([targetId, items]),
   });
   const fill = (from: string, target: string, online: number, batch: number) =>
     loads.applyReport(from, new Map([[targetKey(target), {online, batch}]]));
-  return {placement, directory, suspensions, loads, sent, yielded, fill};
+  return {placement, directory, suspensions, loads, sent, preempted, fill};
 }
 
 function newPair() {
@@ -83,16 +83,16 @@
 // coordinator must count its placements before anybody reports them.
 test('placements of the coordinator count for the next request', async t => {
   const {requester, coordinator} = newPair();
-  const places: Array<string | undefined> = [];
+  const targetIds: Array<string | undefined> = [];
   for (let i = 0; i < 4; i++) {
-    const place = requester.placement.forRequest('s', DEMAND, NONE);
+    const placed = requester.placement.forRequest('s', DEMAND, NONE);
     coordinator.placement.receive(requester.sent.at(-1)![0]);
     const [grant, to] = coordinator.sent.at(-1)!;
     t.is(to, 'asker');
     requester.placement.receive(grant);
-    places.push((await place)?.id);
+    targetIds.push((await placed)?.id);
   }
-  t.deepEqual([...places].sort(), ['t1', 't1', 't2', 't2']);
+  t.deepEqual([...targetIds].sort(), ['t1', 't1', 't2', 't2']);
 });
 
 test('the coordinator is not asked while local targets have free slots', async t => {
@@ -107,12 +107,12 @@
 test('a placement at a draining target is not used', async t => {
   const {requester, coordinator} = newPair();
   requester.directory.put(newTarget('t1', {leaving: true}));
-  const place = requester.placement.forRequest('s', DEMAND, NONE);
+  const placed = requester.placement.forRequest('s', DEMAND, NONE);
   coordinator.placement.receive(requester.sent.at(-1)![0]);
   const [grant] = coordinator.sent.at(-1)!;
   t.deepEqual(grant, {kind: 'grant', askId: 1, targetId: 't1'});
   requester.placement.receive(grant);
-  t.is((await place)?.id, 't2');
+  t.is((await placed)?.id, 't2');
 });
 
 // Requests of one host go again and again to a crashed target: it refuses
@@ -121,13 +121,16 @@
 test('a target that failed the requesting host is not selected', async t => {
   const {requester, coordinator} = newPair();
   requester.suspensions.recordFailure('t1', 'ECONNREFUSED');
-  const place = requester.placement.forRequest('s', DEMAND, NONE);
+  const placed = requester.placement.forRequest('s', DEMAND, NONE);
   coordinator.placement.receive(requester.sent.at(-1)![0]);
   requester.placement.receive(coordinator.sent.at(-1)![0]);
-  t.is((await place)?.id, 't2');
+  t.is((await placed)?.id, 't2');
 });
 
-function askOf(host: string, excluded: readonly string[]): PlacementMessage {
+function requestFrom(
+  host: string,
+  excluded: readonly string[],
+): PlacementMessage {
   const wish = {lane: 'online', demand: DEMAND, near: false} as const;
   return {kind: 'ask', host, askId: 1, service: 's', wish, excluded};
 }
@@ -138,7 +141,7 @@
 test('a target that failed two hosts is avoided for all hosts', t => {
   const {coordinator, clock} = newPair();
   const placedFor = (host: string, excluded: readonly string[]) => {
-    coordinator.placement.receive(askOf(host, excluded));
+    coordinator.placement.receive(requestFrom(host, excluded));
     const [grant] = coordinator.sent.at(-1)!;
     return grant.kind === 'grant' ? grant.targetId : undefined;
   };
@@ -159,18 +162,18 @@
 test('an unresponsive coordinator delays few requests and is not asked for a while', async t => {
   const {requester, clock} = newPair();
   for (let i = 0; i < 5; i++) {
-    const place = requester.placement.forRequest('s', DEMAND, NONE);
+    const placed = requester.placement.forRequest('s', DEMAND, NONE);
     clock.advance(30);
-    t.is((await place)?.id, 't1');
+    t.is((await placed)?.id, 't1');
   }
   t.is(requester.sent.length, 3);
   clock.advance(2000);
   requester.fill('x', 't1', 5, 0);
   requester.fill('y', 't2', 6, 0);
-  const place = requester.placement.forRequest('s', DEMAND, NONE);
+  const placed = requester.placement.forRequest('s', DEMAND, NONE);
   t.is(requester.sent.length, 4);
   clock.advance(30);
-  await place;
+  await placed;
 });
 
 // An online request waits behind an item of another host until that host learns
@@ -183,20 +186,20 @@
     host.fill('y', 't2', 9, 0);
   }
   for (let i = 0; i < 2; i++) {
-    const place = requester.placement.forRequest('s', DEMAND, NONE);
+    const placed = requester.placement.forRequest('s', DEMAND, NONE);
     coordinator.placement.receive(requester.sent.at(-1)![0]);
     const grants = coordinator.sent.filter(([{kind}]) => kind === 'grant');
     requester.placement.receive(grants.at(-1)![0]);
-    await place;
+    await placed;
   }
-  const yields = coordinator.sent.filter(([{kind}]) => kind === 'yield');
-  t.deepEqual(yields, [
+  const preemptions = coordinator.sent.filter(([{kind}]) => kind === 'yield');
+  t.deepEqual(preemptions, [
     [{kind: 'yield', targetId: 't1', items: 1}, 'x'],
     [{kind: 'yield', targetId: 't1', items: 1}, 'x'],
   ]);
   const holder = newHost('x', new FakeClock());
-  holder.placement.receive(yields[0]![0]);
-  t.deepEqual(holder.yielded, [['t1', 1]]);
+  holder.placement.receive(preemptions[0]![0]);
+  t.deepEqual(holder.preempted, [['t1', 1]]);
 });
 
 // A target looks full forever or twice as full as it is: a placed request is
--- a/packages/gateway/src/test/process/target_directory_test.ts
+++ b/packages/gateway/src/test/process/target_directory_test.ts
@@ -39,13 +39,13 @@
 // left.
 test('a restarted server is another target', t => {
   const targets = directory();
-  const gone: string[] = [];
-  targets.onRemoved(id => gone.push(id));
+  const removed: string[] = [];
+  targets.onRemoved(id => removed.push(id));
   const before = newIncarnation('i-1', 1000, {address: '1.2.3.4:5'});
   const now = newIncarnation('i-1', 2000, {address: '1.2.3.9:5'});
   targets.put(before);
   targets.put(now);
-  t.deepEqual(gone, [before.id]);
+  t.deepEqual(removed, [before.id]);
   t.deepEqual(targets.ofService('s'), [now]);
 });
 
--- a/packages/gateway/src/test/process/wide_burst_replay_test.ts
+++ b/packages/gateway/src/test/process/wide_burst_replay_test.ts
@@ -34,7 +34,7 @@
  */
 const DIRECT: FleetOptions = {
   ...DEFAULT_LOAD_REPORT_OPTIONS,
-  directFarMs: Infinity,
+  maxDirectRemoteMs: Infinity,
   coordinated: false,
 };
 /**
@@ -59,12 +59,12 @@
  */
 const MIN_GAIN = 0.2;
 
-async function play(load: FleetScenario, options: FleetOptions) {
+async function simulate(load: FleetScenario, options: FleetOptions) {
   const outcome = await new FleetSimulator(load, options).run();
-  const {requests, inTime, inTimeOnReturn, late} = outcome;
-  const worth =
-    (inTime + RETRY_VALUE * inTimeOnReturn + LATE_VALUE * late) / requests;
-  return {...outcome, worth};
+  const {requests, inTime, inTimeOnRetry, late} = outcome;
+  const value =
+    (inTime + RETRY_VALUE * inTimeOnRetry + LATE_VALUE * late) / requests;
+  return {...outcome, value};
 }
 
 // Callers of a large fleet get their first byte late in each burst although
@@ -75,18 +75,18 @@
 // centre still select the same target that was free a tenth of a second ago,
 // until a coordinator places all requests.
 test('sums and coordinators improve the spread of a burst', async t => {
-  const direct = await play(BURST, DIRECT);
-  const inSums = await play(BURST, SUMS);
-  const coordinated = await play(BURST, COORDINATED);
+  const direct = await simulate(BURST, DIRECT);
+  const inSums = await simulate(BURST, SUMS);
+  const coordinated = await simulate(BURST, COORDINATED);
   for (const outcome of [direct, inSums, coordinated])
     t.log(JSON.stringify(outcome));
-  t.true(inSums.worth > direct.worth + MIN_GAIN);
+  t.true(inSums.value > direct.value + MIN_GAIN);
   t.true(inSums.messages < direct.messages);
   t.true(coordinated.late < inSums.late / 2);
 });
 
 /** Four data centres, the first of which gets twice as many callers. */
-const CROWDED: FleetScenario = {
+const UNEVEN: FleetScenario = {
   ...BURST,
   dataCentres: 4,
   hosts: 7,
@@ -101,7 +101,7 @@
 async function lateInThreeSeeds(options: FleetOptions): Promise<number> {
   let late = 0;
   for (const seed of [1, 2, 3])
-    late += (await play({...CROWDED, seed}, options)).late;
+    late += (await simulate({...UNEVEN, seed}, options)).late;
   return late;
 }
 
@@ -109,22 +109,27 @@
 // other data centres have free slots: each data centre sends its excess there,
 // and knows what the others have sent only as of a fifth of a second ago.
 test('data centres that ask each other do not fill the same remote targets', async t => {
-  const alone = await lateInThreeSeeds(COORDINATED);
-  const asked = await lateInThreeSeeds({
+  const withoutRemote = await lateInThreeSeeds(COORDINATED);
+  const withRemote = await lateInThreeSeeds({
     ...COORDINATED,
-    asksRemoteCoordinators: true,
+    usesRemoteCoordinators: true,
   });
-  t.log(`late requests: ${alone} without asking, ${asked} with asking`);
-  t.true(asked < alone / 2);
+  t.log(
+    `late requests: ${withoutRemote} without remote coordinators, ${withRemote} with them`,
+  );
+  t.true(withRemote < withoutRemote / 2);
 });
 
 // The coordinator of each data centre fails for good during the burst. Hosts
 // get no answer to their placement requests and must continue with their own
 // view at once.
 test('a burst is served when the coordinators fail', async t => {
-  const inSums = await play(BURST, SUMS);
-  const lost = await play(BURST, {...COORDINATED, coordinatorsFailAtMs: 3500});
+  const inSums = await simulate(BURST, SUMS);
+  const lost = await simulate(BURST, {
+    ...COORDINATED,
+    coordinatorsFailAtMs: 3500,
+  });
   t.log(JSON.stringify(lost));
-  t.true(lost.worth > inSums.worth - 0.05);
+  t.true(lost.value > inSums.value - 0.05);
   t.is(lost.unplaced, 0);
 });
--- a/packages/jobs/src/lib/process/batch_scheduler.ts
+++ b/packages/jobs/src/lib/process/batch_scheduler.ts
@@ -196,7 +196,7 @@
     for (const candidate of this.candidates()) {
       const route = this.resolveRoute(candidate);
       if (!route || this.isFull(route, candidate)) continue;
-      if (this.context.crashes.isItemBlocked(candidate.work.fingerprint))
+      if (this.context.crashSuspects.isItemBlocked(candidate.work.fingerprint))
         continue;
       await this.startItem(candidate, route);
       if (++started >= MAX_STARTS_PER_TICK) return;
@@ -209,14 +209,14 @@
   }
 
   private async startItem(candidate: Candidate, route: Route): Promise<void> {
-    const {clock, crashes, placement} = this.context;
+    const {clock, crashSuspects, placement} = this.context;
     const {job, work} = candidate;
     const {stage} = work;
     const target = await this.targetFor(route, candidate);
     if (!target) {
       const backoffMs =
         FULL_ROUTE_BACKOFF_MS[
-          placement.asksOthers ? 'coordinator' : 'localView'
+          placement.usesPeerCoordinator ? 'coordinator' : 'localView'
         ];
       this.routeFullUntil.set(
         fullRouteKey(route, candidate),
@@ -227,7 +227,7 @@
     // While the placement was pending, the item may have failed, or its job may
     // have been cancelled or handed over.
     if (work.stage !== stage || job.closed || this.paused) return;
-    crashes.recordItemStart(work.fingerprint);
+    crashSuspects.recordItemStart(work.fingerprint);
     runItem(this.context, job, work, route, target, () =>
       this.durations.add(job.head, work),
     );
--- a/packages/jobs/src/lib/process/item_runner.ts
+++ b/packages/jobs/src/lib/process/item_runner.ts
@@ -23,7 +23,7 @@
 export interface ItemRunContext extends SendContext {
   readonly log: EventLog;
   readonly counters: Counters;
-  readonly crashes: CrashSuspects;
+  readonly crashSuspects: CrashSuspects;
   readonly tracer: Tracer;
 }
 
@@ -101,21 +101,21 @@
     afterEvent: work.lastEventId,
   });
   const sink = new TextSink(work);
-  const sending = sendToTarget(context, target, 'batch', req, sink);
+  const activeSend = sendToTarget(context, target, 'batch', req, sink);
   work.stage = {
     kind: 'running',
     targetId: target.id,
-    control: sending.control,
+    control: activeSend.control,
   };
-  void sending.end.then(end => {
+  void activeSend.end.then(end => {
     work.runTimeMs += context.clock.now() - startedAt;
     hop.end(end.kind);
     trace.end(end.kind === 'streamed' ? undefined : end.kind);
     if (end.kind === 'streamed') onDone();
     if (sink.received || end.kind === 'answered')
-      context.crashes.recordAnswer(work.fingerprint);
+      context.crashSuspects.recordAnswer(work.fingerprint);
     else if (mayHaveCrashed(end))
-      context.crashes.recordBrokenRun(work.fingerprint, target.id);
+      context.crashSuspects.recordBrokenRun(work.fingerprint, target.id);
     handleRunEnd(context, job, work, end, target);
   });
 }
--- a/packages/jobs/src/lib/process/job_ownership.ts
+++ b/packages/jobs/src/lib/process/job_ownership.ts
@@ -94,7 +94,7 @@
    *
    * @param accepted - Head as written on acceptance.
    */
-  accepted(accepted: VersionedHead): void {
+  adoptAccepted(accepted: VersionedHead): void {
     void this.adopt(accepted, 'accepted');
   }
 
--- a/packages/jobs/src/test/process/batch_scheduler_test.ts
+++ b/packages/jobs/src/test/process/batch_scheduler_test.ts
@@ -49,11 +49,11 @@
 /** Counts placement attempts while no target has a free slot. */
 async function countPlacementAttempts(
   jobs: readonly OwnedJob[],
-  asksOthers: boolean,
+  usesPeerCoordinator: boolean,
 ) {
   const counts: Record<BatchPressure, number> = {relaxed: 0, pressed: 0};
   const placement = {
-    asksOthers,
+    usesPeerCoordinator,
     forItem: async (service: string, pressure: BatchPressure) => {
       counts[pressure]++;
       return undefined as Target | undefined;
@@ -66,7 +66,7 @@
     random: seededRandom(1),
     placement,
     routing: {current: {match: () => ROUTE}},
-    crashes: {isItemBlocked: () => false},
+    crashSuspects: {isItemBlocked: () => false},
     loads: {onChange: () => {}},
     storeTimeMs: () => 0,
   } as unknown as SchedulerContext;
@@ -83,8 +83,11 @@
 test('a relaxed item does not hold back an urgent one', async t => {
   const relaxed = jobDueIn('relaxed', GOAL_MS, GOAL_MS / 8);
   const pressed = jobDueIn('pressed', GOAL_MS * 0.4);
-  for (const asksOthers of [false, true]) {
-    const counts = await countPlacementAttempts([relaxed, pressed], asksOthers);
+  for (const usesPeerCoordinator of [false, true]) {
+    const counts = await countPlacementAttempts(
+      [relaxed, pressed],
+      usesPeerCoordinator,
+    );
     t.true(counts.pressed > 0, JSON.stringify(counts));
   }
 });
--- a/packages/jobs/src/test/process/head_writer_test.ts
+++ b/packages/jobs/src/test/process/head_writer_test.ts
@@ -71,10 +71,10 @@
 test('an owner whose job was taken over can no longer write', async t => {
   const store = new MemoryRowStore(SYSTEM_CLOCK);
   const version = await insertHead(store);
-  const frozen = writerOf(store, version);
+  const pausedOwner = writerOf(store, version);
   const other = writerOf(store, version, 2);
   t.true((await other.write({owner: 'other'}, [])).ok);
-  const late = await frozen.write({listed: 1}, []);
+  const late = await pausedOwner.write({listed: 1}, []);
   t.deepEqual(late.ok ? undefined : late.err, {
     kind: 'ownership-lost',
     state: 'open',
--- a/packages/serving/src/lib/process/serving_components.ts
+++ b/packages/serving/src/lib/process/serving_components.ts
@@ -59,7 +59,7 @@
   readonly membership: Membership;
   readonly socket: HostSocket;
   readonly exchange: LoadExchange;
-  readonly crashes: CrashSuspects;
+  readonly crashSuspects: CrashSuspects;
   readonly freshness: FreshnessLease;
   readonly quotas: AccountQuotas;
   readonly online: OnlineContext;
@@ -115,7 +115,7 @@
       peers: () => membership.peers().map(hostPeerOf),
     }),
   );
-  const crashes = new CrashSuspects({
+  const crashSuspects = new CrashSuspects({
     store,
     clock,
     log,
@@ -123,21 +123,21 @@
     expiryMs: () => platform.tunables().targetExpiryMs,
   });
   const hosts = () => membership.live().length;
-  const homes = new PreferredTargets({
+  const preferredTargets = new PreferredTargets({
     self: self.id,
     dataCentre: identity.dataCentre,
     hosts,
   });
   const overload = new ServiceOverload({clock, random, directory, hosts});
-  const sending = onlineContext(
+  const requestContext = onlineContext(
     {platform, context, disposables},
-    {directory, loads, homes, overload, crashes},
+    {directory, loads, preferredTargets, overload, crashSuspects},
   );
   const placement = createPlacement(socket, {
-    ...sending,
+    ...requestContext,
     self,
     localCoordinator: new Coordinator({
-      ...sending,
+      ...requestContext,
       self: self.id,
       dataCentre: self.dataCentre,
       now: () => clock.now(),
@@ -164,10 +164,10 @@
   const quotas = disposables.add(
     createAccountQuotas(socket, {
       ...context,
-      self: countingHostOf(self),
+      self: quotaHostOf(self),
       hosts: () =>
         membership.isInitialized
-          ? membership.live().map(countingHostOf)
+          ? membership.live().map(quotaHostOf)
           : undefined,
       tolerance: () => platform.tunables().quotaTolerance,
       quotaOf: name => routing.current?.table.accounts?.findByName(name)?.quota,
@@ -180,16 +180,16 @@
     quotas,
     counters,
   });
-  const online = {...sending, placement, admission};
+  const online = {...requestContext, placement, admission};
   const reader = new JobReader(store);
   const {storeLimits: limits} = platform;
-  const jobs = {...context, store, limits, reader, membership};
-  const jobOwnership = disposables.add(new JobOwnership(jobs));
+  const jobContext = {...context, store, limits, reader, membership};
+  const jobOwnership = disposables.add(new JobOwnership(jobContext));
   const closedJobRetentionMs = () => platform.tunables().closedJobRetentionMs;
   const garbageCollector = disposables.add(
-    new JobGarbageCollector({...jobs, closedJobRetentionMs}),
+    new JobGarbageCollector({...jobContext, closedJobRetentionMs}),
   );
-  const scheduling = {
+  const schedulerContext = {
     ...online,
     directory,
     routing,
@@ -197,7 +197,7 @@
     storeTimeMs: () => store.storeTimeMs(),
   };
   const scheduler: BatchScheduler = disposables.add(
-    new BatchScheduler(scheduling, () => jobOwnership.jobs()),
+    new BatchScheduler(schedulerContext, () => jobOwnership.jobs()),
   );
   return {
     store,
@@ -207,14 +207,14 @@
     membership,
     socket,
     exchange,
-    crashes,
+    crashSuspects,
     freshness,
     quotas,
     online,
     jobOwnership,
     garbageCollector,
     scheduler,
-    jobOperations: createJobOperations(jobs, jobOwnership),
+    jobOperations: createJobOperations(jobContext, jobOwnership),
   };
 }
 
@@ -227,9 +227,9 @@
 interface TargetState {
   readonly directory: TargetDirectory;
   readonly loads: LoadTable;
-  readonly homes: PreferredTargets;
+  readonly preferredTargets: PreferredTargets;
   readonly overload: ServiceOverload;
-  readonly crashes: CrashSuspects;
+  readonly crashSuspects: CrashSuspects;
 }
 
 /**
@@ -238,7 +238,7 @@
  */
 function onlineContext(
   {platform, context, disposables}: ComponentContext,
-  {directory, loads, homes, overload, crashes}: TargetState,
+  {directory, loads, preferredTargets, overload, crashSuspects}: TargetState,
 ): Omit<OnlineContext, 'placement' | 'admission'> {
   const {clock, log, random, counters} = context;
   const {protocol} = platform;
@@ -252,22 +252,22 @@
     health.remove(id);
     pool.closeIdle(id);
   });
-  const known = {directory, suspensions, health, overload, loads};
+  const targetState = {directory, suspensions, health, overload, loads};
   const chooser = new TargetChooser({
     dataCentre,
-    ...known,
-    preferredTargets: homes,
+    ...targetState,
+    preferredTargets,
     random,
   });
-  const patience = new CallerRetryDetector();
+  const retryDetector = new CallerRetryDetector();
   return {
     ...context,
     protocol,
     pool,
-    ...known,
+    ...targetState,
     chooser,
-    crashes,
-    retryDetector: patience,
+    crashSuspects,
+    retryDetector,
   };
 }
 
@@ -285,12 +285,12 @@
   const intake = new JobIntake({...context, owner, sinceAnswerMs});
   return {
     reader,
-    end: jobId => cancelJob(context, jobId),
+    cancel: jobId => cancelJob(context, jobId),
     submit: async submission => {
       const result = await intake.accept(submission);
       if (result.kind === 'accepted' && result.written) {
         reader.cacheItems(submission.id, submission.items);
-        jobOwnership.accepted(result.written);
+        jobOwnership.adoptAccepted(result.written);
       }
       return result;
     },
@@ -311,7 +311,7 @@
   };
 }
 
-function countingHostOf({id, host, ip, loadPort}: Member): QuotaHost {
+function quotaHostOf({id, host, ip, loadPort}: Member): QuotaHost {
   return {id, host, ip, port: loadPort};
 }
 
--- a/packages/serving/src/lib/process/serving_platform.ts
+++ b/packages/serving/src/lib/process/serving_platform.ts
@@ -43,7 +43,7 @@
    * @returns `ended` if it is closed now; `unsure` if the store did not confirm
    *   it.
    */
-  end(jobId: string): Promise<'ended' | 'not-found' | 'unsure'>;
+  cancel(jobId: string): Promise<'ended' | 'not-found' | 'unsure'>;
   /** Accepts a job; repeated submissions are accepted once. */
   readonly submit: JobIntake['accept'];
 }
@@ -98,10 +98,10 @@
   /**
    * Creates the batch interface for callers, in the platform's format.
    *
-   * @param calls - Operations on batch jobs.
+   * @param operations - Operations on batch jobs.
    * @returns The interface.
    */
-  batchFront(calls: JobOperations): BatchApi;
+  createBatchApi(operations: JobOperations): BatchApi;
 }
 
 /** Dependencies that all components of the process use. */
--- a/packages/serving/src/lib/process/serving_process.ts
+++ b/packages/serving/src/lib/process/serving_process.ts
@@ -69,7 +69,7 @@
     this.front = new FrontServer({
       online,
       routing,
-      batch: platform.batchFront(jobOperations),
+      batch: platform.createBatchApi(jobOperations),
       log: context.log,
       draining: () => this.lifecycle.state === 'draining',
     });
--- a/packages/serving/src/lib/process/table_feeds.ts
+++ b/packages/serving/src/lib/process/table_feeds.ts
@@ -31,7 +31,7 @@
   readonly routing: RoutingState;
   readonly directory: TargetDirectory;
   readonly membership: Membership;
-  readonly crashes: CrashSuspects;
+  readonly crashSuspects: CrashSuspects;
   readonly jobOwnership: JobOwnership;
   readonly garbageCollector: JobGarbageCollector;
 }
@@ -107,7 +107,7 @@
   /** Starts watching all tables. */
   start(): void {
     const {config, targets} = this.platform;
-    const {membership, crashes, jobOwnership, garbageCollector} =
+    const {membership, crashSuspects, jobOwnership, garbageCollector} =
       this.consumers;
     const {freshness} = this.consumers;
     this.watchTable(
@@ -133,7 +133,7 @@
       SUSPECT_TABLE,
       SINGLE_PARTITION,
       FEED_SETTINGS.suspects,
-      update => crashes.update(update),
+      update => crashSuspects.update(update),
     );
     this.watchTable(HEAD_TABLE, JOB_PARTITIONS, FEED_SETTINGS.heads, update => {
       jobOwnership.update(update);
