--- a/packages/gateway/src/lib/connection/connection_pool.ts
+++ b/packages/gateway/src/lib/connection/connection_pool.ts
@@ -9,7 +9,7 @@
   type ConnectionTimeouts,
 } from './target_connection.js';
 
-/** Idle connections by target id. */
+/** Idle connections by target ID. */
 export class ConnectionPool implements Disposable {
   private readonly idle = new Map<string, TargetConnection[]>();
 
@@ -23,7 +23,7 @@
   ) {}
 
   /**
-   * @param targetId - Id of the target. Connections are pooled by id, because
+   * @param targetId - ID of the target. Connections are pooled by ID, because
    *     an address can be reused by another target.
    * @param address - IP address and port at which the target listens.
    * @returns An idle connection, or a new one that is opened with its first
@@ -48,7 +48,7 @@
    * request were already queued, undici would parse them as the response to it;
    * with none queued, undici closes the connection.
    *
-   * @param targetId - Id of the target.
+   * @param targetId - ID of the target.
    * @param connection - The connection, with no request on it.
    */
   release(targetId: string, connection: TargetConnection): void {
--- a/packages/gateway/src/lib/connection/load_message.ts
+++ b/packages/gateway/src/lib/connection/load_message.ts
@@ -9,7 +9,7 @@
 
 /** A decoded load report. */
 export interface LoadMessage {
-  /** Id of the sending process incarnation; see `Member.id`. */
+  /** ID of the sending process incarnation; see `Member.id`. */
   readonly host: string;
   /** Data centre of the sender. */
   readonly dataCentre: string;
@@ -53,11 +53,11 @@
 const ENTRY_FIELDS = 4;
 
 /**
- * Shortens a target id for load messages. An id is a string of about a dozen
+ * Shortens a target ID for load messages. An ID is a string of about a dozen
  * bytes, which each message would repeat; its hash takes five. Two targets with
  * the same hash share one load entry, which only makes both look busier.
  *
- * @param targetId - Id of the target.
+ * @param targetId - ID of the target.
  * @returns The key of the target in load messages and load tables.
  */
 export function targetKey(targetId: string): string {
--- a/packages/gateway/src/lib/connection/placement_message.ts
+++ b/packages/gateway/src/lib/connection/placement_message.ts
@@ -39,14 +39,14 @@
 /** Requests a slot. */
 const REQUEST = z.object({
   kind: z.literal('ask'),
-  /** Id of the process incarnation that sends the request. */
+  /** ID of the process incarnation that sends the request. */
   host: z.string(),
   /** Identifies the request to its sender; the reply repeats it. */
   askId: COUNT,
   service: z.string(),
   wish: CRITERIA,
   /**
-   * Ids of targets that must not be chosen, because they just failed a request
+   * IDs of targets that must not be chosen, because they just failed a request
    * of this host.
    */
   excluded: z.array(z.string()).readonly(),
@@ -56,12 +56,12 @@
 const GRANT = z.object({
   kind: z.literal('grant'),
   askId: COUNT,
-  /** Id of the granted target; undefined if none has a free slot. */
+  /** ID of the granted target; undefined if none has a free slot. */
   targetId: z.string().optional(),
 });
 
 /**
- * Tells a host to preempt batch items at a target, because an online request
+ * Requests a host to preempt batch items at a target, because an online request
  * takes their slots.
  */
 const PREEMPTION = z.object({
--- a/packages/gateway/src/lib/connection/quota_message.ts
+++ b/packages/gateway/src/lib/connection/quota_message.ts
@@ -17,7 +17,7 @@
 /** Asks whether one more request of an account may run. */
 const REQUEST = z.object({
   kind: z.literal('ask'),
-  /** Id of the process incarnation that sends the request. */
+  /** ID of the process incarnation that sends the request. */
   host: z.string(),
   /** Identifies the request to its sender; the reply repeats it. */
   askId: COUNT,
--- a/packages/gateway/src/lib/connection/target.ts
+++ b/packages/gateway/src/lib/connection/target.ts
@@ -4,13 +4,13 @@
 export interface Target {
   /**
    * Identifies this incarnation of the server. Connections, load, health and
-   * suspensions are kept by this id, so that they never apply to a later
+   * suspensions are kept by this ID, so that they never apply to a later
    * incarnation.
    */
   readonly id: string;
   /**
-   * Id under which the server registers itself. A later incarnation may use the
-   * same id.
+   * ID under which the server registers itself. A later incarnation may use the
+   * same ID.
    */
   readonly serverId: string;
   /**
--- a/packages/gateway/src/lib/process/account_quotas.ts
+++ b/packages/gateway/src/lib/process/account_quotas.ts
@@ -1,12 +1,12 @@
 /**
  * Enforces request quotas of client accounts across all hosts.
  *
- * Each account is counted by one host, its owner, which is chosen among the
- * live hosts by rendezvous hashing. Counting is thus exact without a store and
- * without broadcasts. If the owner does not answer, it is not asked again for a
- * while, and each host admits requests from a small reserve instead. While the
- * list of hosts changes, two hosts may consider themselves the owner; a host
- * that is not the owner by its own list grants nothing.
+ * Each account is counted by one host, its quota owner, which is chosen among
+ * the live hosts by rendezvous hashing. Counting is thus exact without a store
+ * and without broadcasts. If the owner does not answer, it is not asked again
+ * for a while, and each host admits requests from a small reserve instead.
+ * While the list of hosts changes, two hosts may consider themselves the owner;
+ * a host that is not the owner by its own list grants nothing.
  */
 import {
   QuotaEnforcer,
--- a/packages/gateway/src/lib/process/coordinator.ts
+++ b/packages/gateway/src/lib/process/coordinator.ts
@@ -62,7 +62,7 @@
   /**
    * Selects a target and adds the request to the load immediately.
    *
-   * @param ask - The placement request.
+   * @param request - The placement request.
    * @param dataCentre - Data centre of the requesting host.
    * @returns The target and the items to preempt there.
    */
--- a/packages/gateway/src/lib/process/load_table.ts
+++ b/packages/gateway/src/lib/process/load_table.ts
@@ -204,7 +204,7 @@
    * whole data centre for a moment. Such a sum covers few hosts and is ignored
    * if another host has reported a more complete one shortly before.
    *
-   * @param heard - Load of another data centre.
+   * @param sum - Latest sum of another data centre.
    */
   applyDataCentreSum({dataCentre, hosts, load}: DataCentreLoad): void {
     const before = this.dataCentres.get(dataCentre);
@@ -255,7 +255,7 @@
 
   /**
    * Drops the loads of hosts and data centres without a report for {@link
-   * LOAD_LIFETIME_MS}.
+   * LOAD_REPORT_LIFETIME_MS}.
    */
   expire(): void {
     for (const pending of [this.pending, this.pendingRemote])
--- a/packages/gateway/src/lib/process/placement.ts
+++ b/packages/gateway/src/lib/process/placement.ts
@@ -1,12 +1,13 @@
 /**
  * Selects the target of each request or item of this host, either by the host's
- * own view of the loads or by asking the coordinator of the data centre.
+ * local view of the loads or by requesting a placement from the coordinator of
+ * the data centre.
  *
- * The own view is sufficient while there are plenty of free slots, and in small
- * fleets, where load reports are recent. In case the coordinator fails, hangs
- * or is unreachable, each placement request has a short timeout, after which
- * the own view decides; after several timeouts in a row the coordinator is not
- * asked for a while.
+ * The local view is sufficient while there are plenty of free slots, and in
+ * small fleets, where load reports are recent. In case the coordinator fails,
+ * hangs or is unreachable, each placement request has a short timeout, after
+ * which the local view decides; after several timeouts in a row the coordinator
+ * is not asked for a while.
  */
 import type {Clock, Counters, EventLog, WaitDemand} from '@oathead/core';
 import type {Target} from '../connection/target.js';
@@ -37,8 +38,8 @@
 const PAUSE_MS = 1000;
 /**
  * A local target with less than this share of its slots in use is selected by
- * the own view: requests that other hosts have sent in the meantime fit beside
- * the new one.
+ * the local view: requests that other hosts have sent in the meantime fit
+ * beside the new one.
  */
 const LOCAL_VIEW_LOAD_SHARE = 0.5;
 
@@ -106,7 +107,8 @@
    * @param service - Service that the target must provide.
    * @param demand - Determines how many requests may be queued at the target.
    * @param tried - IDs of targets that were tried already.
-   * @returns The selected target; undefined if none has room. Never rejects.
+   * @returns The selected target; undefined if none has free capacity. Never
+   *     rejects.
    */
   async forRequest(
     service: string,
@@ -281,7 +283,7 @@
   private handleRequest(request: PlacementRequest): void {
     const {localCoordinator: coordinator, peer, send} = this.context;
     const to = peer(request.host);
-    // A sender that is not known yet times out and uses its own view.
+    // A sender that is not known yet times out and uses its local view.
     if (!to) return;
     const {target, itemsToPreempt} = coordinator.place(request, to.dataCentre);
     send({kind: 'grant', askId: request.askId, targetId: target?.id}, to);
--- a/packages/gateway/src/lib/process/service_health.ts
+++ b/packages/gateway/src/lib/process/service_health.ts
@@ -21,8 +21,8 @@
   }
 
   /**
-   * @param target - A target that answered successfully.
-   * @param latencyMs - Time to the first byte of its answer, in milliseconds.
+   * @param target - A target that served a request successfully.
+   * @param latencyMs - Time to the first byte of its response, in milliseconds.
    */
   recordSuccess({service, id}: Target, latencyMs: number): void {
     this.healthOf(service).recordSuccess(id, latencyMs, this.clock.now());
--- a/packages/gateway/src/lib/process/service_overload.ts
+++ b/packages/gateway/src/lib/process/service_overload.ts
@@ -50,7 +50,8 @@
   }
 
   /**
-   * @param service - Service without a free place for the request.
+   * @param service - Service whose targets have no free capacity for the
+   *     request.
    * @param maxDelayMs - Longest retry delay that the caller accepts, in
    *     milliseconds.
    * @returns The retry delay, in milliseconds.
--- a/packages/gateway/src/lib/process/target_chooser.ts
+++ b/packages/gateway/src/lib/process/target_chooser.ts
@@ -85,7 +85,8 @@
    * @param service - Service that the target must provide.
    * @param demand - Determines how many requests may be queued at the target.
    * @param tried - IDs of targets that were tried already.
-   * @returns The target with the lowest score; undefined if none has room.
+   * @returns The target with the lowest score; undefined if none has free
+   *     capacity.
    */
   forRequest(
     service: string,
@@ -128,8 +129,8 @@
    * @param service - Service that the target must provide.
    * @param demand - Determines how many requests may be queued at the target.
    * @param excluded - IDs of targets that must not be selected.
-   * @returns The local target with the lowest score; undefined if none has
-   *     room.
+   * @returns The local target with the lowest score; undefined if none has free
+   *     capacity.
    */
   forLocalRequest(
     service: string,
--- a/packages/gateway/src/lib/request/target_protocol.ts
+++ b/packages/gateway/src/lib/request/target_protocol.ts
@@ -37,7 +37,7 @@
 
 /** Metadata that the gateway adds to the caller's own headers. */
 export interface ForwardMetadata {
-  /** Identifies the request; undefined if the caller sent no request id. */
+  /** Identifies the request; undefined if the caller sent no request ID. */
   readonly requestId: string | undefined;
   /** Server that the request is meant for. Any other server refuses it. */
   readonly serverId: Target['serverId'];
--- a/packages/gateway/src/test/connection/load_intervals_test.ts
+++ b/packages/gateway/src/test/connection/load_intervals_test.ts
@@ -45,8 +45,12 @@
     [56, 283, 5],
   ] as const) {
     const plan = planLoadReports(localHosts, remoteHosts, dataCentres, options);
-    if (plan.kind !== 'relayed') return t.fail(`${localHosts} and ${remoteHosts}`);
-    t.true(plan.relayMs + plan.localMs < 1000, `${localHosts} and ${remoteHosts}`);
+    if (plan.kind !== 'relayed')
+      return t.fail(`${localHosts} and ${remoteHosts}`);
+    t.true(
+      plan.relayMs + plan.localMs < 1000,
+      `${localHosts} and ${remoteHosts}`,
+    );
     const sent = localHosts / plan.localMs + dataCentres / plan.relayMs;
     t.true(sent * MS_PER_SECOND <= 150.001, `${localHosts} and ${remoteHosts}`);
   }
--- a/packages/gateway/src/test/fakes/fake_clock.ts
+++ b/packages/gateway/src/test/fakes/fake_clock.ts
@@ -5,7 +5,7 @@
   readonly callback: () => void;
 }
 
-/** A clock that advances only when a test tells it to. */
+/** A clock that only a test advances. */
 export class FakeClock implements Clock {
   private time = 0;
   private readonly timers = new Set<Timer>();
--- a/packages/gateway/src/test/fakes/quota_fleet.ts
+++ b/packages/gateway/src/test/fakes/quota_fleet.ts
@@ -44,7 +44,7 @@
    * @param host - Index of the host that received the request.
    * @param account - The account of the request.
    * @param at - The current time, in milliseconds.
-   * @param counted - Asks the quota owner.
+   * @param counted - Sends a quota request to the quota owner.
    * @returns Whether the request may run.
    */
   take(
--- a/packages/gateway/src/test/fakes/targets.ts
+++ b/packages/gateway/src/test/fakes/targets.ts
@@ -1,6 +1,6 @@
 import type {Target} from '../../lib/connection/target.js';
 
-/** A server without a start time, which has a new id after each start. */
+/** A server without a start time, which has a new ID after each start. */
 const BASE_TARGET: Target = {
   id: 't',
   serverId: 't',
@@ -12,13 +12,13 @@
   leaving: false,
 };
 
-/** @returns A target with the given id. */
+/** @returns A target with the given ID. */
 export function newTarget(id: string, overrides: Partial<Target> = {}): Target {
   return {...BASE_TARGET, id, serverId: id, ...overrides};
 }
 
 /**
- * @returns One incarnation of a server that keeps its server id after a
+ * @returns One incarnation of a server that keeps its server ID after a
  *     restart.
  */
 export function newIncarnation(
--- a/packages/gateway/src/test/process/crash_suspects_test.ts
+++ b/packages/gateway/src/test/process/crash_suspects_test.ts
@@ -10,7 +10,10 @@
 
 /** Three heartbeat intervals of 1.2 s. */
 const EXPIRY_MS = 3600;
-/** Exceeds the expiry time plus the time that hosts take to read of it. */
+/**
+ * Exceeds the expiry time plus the time within which all hosts have read the
+ * list.
+ */
 const EXPIRY_KNOWN_MS = 8000;
 const READ_EVERY_MS = 250;
 const TARGETS = ['i-1', 'i-2', 'i-3'] as const;
@@ -22,13 +25,14 @@
   const store = new MemoryRowStore(clock);
   const log = NO_EVENT_LOG;
   const directory = new TargetDirectory({clock, log});
+  const expiryMs = () => EXPIRY_MS;
   return {
     suspects: new CrashSuspects({
       store,
       clock,
       log,
       directory,
-      expiryMs: () => EXPIRY_MS,
+      expiryMs,
     }),
     directory,
     advance: (ms: number) => {
--- a/packages/gateway/src/test/process/placement_test.ts
+++ b/packages/gateway/src/test/process/placement_test.ts
@@ -20,7 +20,8 @@
 const COORDINATOR = {id: 'leader', dataCentre: 'a'};
 
 /**
- * Creates a host with its own view of two targets, and records what it sends.
+ * Creates a host with its own load table of two targets, and records what it
+ * sends.
  */
 function newHost(id: string, clock: FakeClock) {
   const log = NO_EVENT_LOG;
@@ -103,7 +104,7 @@
 });
 
 // A draining target gets a request: the coordinator has read the target list
-// earlier than the host that asks it.
+// earlier than the host that sends the request.
 test('a placement at a draining target is not used', async t => {
   const {requester, coordinator} = newPair();
   requester.directory.put(newTarget('t1', {leaving: true}));
@@ -177,8 +178,8 @@
 });
 
 // An online request waits behind an item of another host until that host learns
-// of it. The coordinator that placed the request must tell it at once, and only
-// once.
+// of it. The coordinator that placed the request must notify it at once, and
+// only once.
 test('items that occupy the slot of a request are preempted by their host', async t => {
   const {requester, coordinator} = newPair();
   for (const host of [requester, coordinator]) {
--- a/packages/gateway/src/test/process/wide_burst_replay_test.ts
+++ b/packages/gateway/src/test/process/wide_burst_replay_test.ts
@@ -38,8 +38,8 @@
   coordinated: false,
 };
 /**
- * Data centres report sums to each other; each host selects targets by its own
- * view.
+ * Data centres report sums to each other; each host selects targets by its
+ * local view.
  */
 const SUMS: FleetOptions = {...DEFAULT_LOAD_REPORT_OPTIONS, coordinated: false};
 const COORDINATED: FleetOptions = {
@@ -121,7 +121,7 @@
 });
 
 // The coordinator of each data centre fails for good during the burst. Hosts
-// get no answer to their placement requests and must continue with their own
+// get no reply to their placement requests and must continue with their local
 // view at once.
 test('a burst is served when the coordinators fail', async t => {
   const inSums = await simulate(BURST, SUMS);
--- a/packages/gateway/src/test/request/target_send_test.ts
+++ b/packages/gateway/src/test/request/target_send_test.ts
@@ -152,7 +152,7 @@
 
 // Guards against a caller that waits until its deadline for a server that was
 // restarted. The server lost power, which closes no connection, and is back
-// under the same id. Requests sent to the earlier incarnation must end as soon
+// under the same ID. Requests sent to the earlier incarnation must end as soon
 // as the list of targets contains the new one.
 test('a request ends when the target server is restarted', async t => {
   await using raw = await listenUnresponsive();
--- a/packages/jobs/src/lib/process/batch_scheduler.ts
+++ b/packages/jobs/src/lib/process/batch_scheduler.ts
@@ -32,7 +32,7 @@
   readonly directory: TargetDirectory;
   readonly routing: RoutingState;
   readonly random: Random;
-  /** Member id of this host's incarnation, as in its load reports. */
+  /** Member ID of this host's incarnation, as in its load reports. */
   readonly self: string;
   /**
    * The store's monotonic clock, in milliseconds; undefined until it is known.
--- a/packages/jobs/src/lib/process/item_work.ts
+++ b/packages/jobs/src/lib/process/item_work.ts
@@ -4,7 +4,7 @@
 
 /** Partial text of an interrupted item and the event after which it resumes. */
 export interface PartialText {
-  /** Id of the last event contained in `texts`. */
+  /** ID of the last event contained in `texts`. */
   readonly lastEventId: number | undefined;
   /** Data of the events received so far. */
   readonly texts: readonly string[];
--- a/packages/jobs/src/lib/process/job_garbage_collector.ts
+++ b/packages/jobs/src/lib/process/job_garbage_collector.ts
@@ -38,8 +38,8 @@
 /** Interval between checks for expired jobs, in milliseconds. */
 const SWEEP_INTERVAL_MS = 10_000;
 /**
- * Maximum number of jobs removed per sweep, so that the deletions do not crowd
- * out the writes of running jobs.
+ * Maximum number of jobs removed per sweep, so that the deletions do not delay
+ * the writes of running jobs.
  */
 const MAX_JOBS_PER_SWEEP = 20;
 /**
--- a/packages/jobs/src/lib/process/owned_job.ts
+++ b/packages/jobs/src/lib/process/owned_job.ts
@@ -115,7 +115,7 @@
   /**
    * Hands the job over to another host, including its partial texts.
    *
-   * @param owner - Member id of the host incarnation that takes it over.
+   * @param owner - Member ID of the host incarnation that takes it over.
    */
   async handOver(owner: string): Promise<void> {
     for (const {stage} of this.work)
@@ -136,7 +136,7 @@
   /**
    * Stores the partial texts, so that a host that takes the job over resumes
    * from them. These rows are not fenced: each holds the events of an item from
-   * the first up to some id, whichever host has written it.
+   * the first up to some ID, whichever host has written it.
    */
   async checkpoint(): Promise<void> {
     const puts = this.partialRows();
--- a/packages/jobs/src/lib/request/job.ts
+++ b/packages/jobs/src/lib/request/job.ts
@@ -12,14 +12,14 @@
 }
 
 /**
- * Computes the id of a job in the store. Callers choose the ids of their jobs,
+ * Computes the ID of a job in the store. Callers choose the IDs of their jobs,
  * and two client accounts may choose the same one: the account is part of the
- * id, so that an account cannot reach jobs of others.
+ * ID, so that an account cannot reach jobs of others.
  *
  * @param account - Name of the client account; undefined if the deployment has
  *   no accounts.
- * @param callerId - Id of the job as chosen by the caller.
- * @returns The job's id in the store and in the log.
+ * @param callerId - ID of the job as chosen by the caller.
+ * @returns The job's ID in the store and in the log.
  */
 export function jobIdOf(account: string | undefined, callerId: string): string {
   if (account === undefined) return callerId;
--- a/packages/jobs/src/lib/request/job_cancellation.ts
+++ b/packages/jobs/src/lib/request/job_cancellation.ts
@@ -31,7 +31,7 @@
  * expect the older head, are rejected.
  *
  * @param context - Store, reader, clock and log.
- * @param jobId - Id of the job.
+ * @param jobId - ID of the job.
  * @returns `ended` also if the job was done or cancelled before; `unsure` if
  *   the store did not confirm the write.
  */
--- a/packages/jobs/src/lib/request/job_content.ts
+++ b/packages/jobs/src/lib/request/job_content.ts
@@ -60,7 +60,7 @@
 /**
  * Serializes items and splits them into pieces.
  *
- * @param jobId - Id of the job.
+ * @param jobId - ID of the job.
  * @param items - Items of the job.
  * @param limits - Size limits of the store.
  * @returns Rows if the content fits into one transaction, else objects.
--- a/packages/jobs/src/lib/request/job_intake.ts
+++ b/packages/jobs/src/lib/request/job_intake.ts
@@ -29,7 +29,7 @@
   readonly clock: Clock;
   readonly random: Random;
   readonly log: EventLog;
-  /** Returns the member id of the host that owns jobs accepted now. */
+  /** Returns the member ID of the host that owns jobs accepted now. */
   readonly owner: () => string;
   /** Time since the store's last response of any kind, in milliseconds. */
   readonly sinceAnswerMs: () => number;
--- a/packages/jobs/src/lib/request/job_reader.ts
+++ b/packages/jobs/src/lib/request/job_reader.ts
@@ -69,7 +69,7 @@
   /**
    * Reads the head of a job.
    *
-   * @param jobId - Id of the job.
+   * @param jobId - ID of the job.
    * @returns The current head and its version.
    */
   async head(jobId: string): Promise<Outcome<VersionedHead, JobReadError>> {
@@ -88,7 +88,7 @@
   /**
    * Reads one page of results.
    *
-   * @param jobId - Id of the job.
+   * @param jobId - ID of the job.
    * @param from - Position of the first result.
    * @returns The results from that position on.
    */
@@ -110,7 +110,7 @@
   /**
    * Reads all pages of results.
    *
-   * @param jobId - Id of the job.
+   * @param jobId - ID of the job.
    * @returns All results written so far.
    */
   async allResults(
@@ -128,8 +128,8 @@
   /**
    * Reads the request body of an item.
    *
-   * @param jobId - Id of the job.
-   * @param itemId - Id of the item.
+   * @param jobId - ID of the job.
+   * @param itemId - ID of the item.
    * @returns The item's body as submitted.
    */
   async body(
@@ -145,7 +145,7 @@
   /**
    * Reads the items of a job, from the cache if possible.
    *
-   * @param jobId - Id of the job.
+   * @param jobId - ID of the job.
    * @returns The items as submitted.
    */
   async items(
@@ -165,7 +165,7 @@
    * Caches the items of a job that was just submitted, so that its owner need
    * not read them from the store.
    *
-   * @param jobId - Id of the job.
+   * @param jobId - ID of the job.
    * @param items - Items of the job.
    */
   cacheItems(jobId: string, items: readonly JobItem[]): void {
--- a/packages/jobs/src/lib/request/job_rows.ts
+++ b/packages/jobs/src/lib/request/job_rows.ts
@@ -44,7 +44,7 @@
   retentionMs: z.number(),
   maxAttempts: COUNT,
   /**
-   * Member id of the host incarnation that owns the job; empty if none does.
+   * Member ID of the host incarnation that owns the job; empty if none does.
    */
   owner: z.string(),
   /**
@@ -84,7 +84,7 @@
 
 /**
  * @param table - A table with several rows per job.
- * @param jobId - Id of the job.
+ * @param jobId - ID of the job.
  * @param index - Index of the piece, result or item.
  * @returns The key of the row.
  */
@@ -95,7 +95,7 @@
 
 /**
  * @param table - A table with several rows per job.
- * @param jobId - Id of the job.
+ * @param jobId - ID of the job.
  * @param from - First index.
  * @returns The range of the job's rows from that index on.
  */
--- a/packages/serving/src/lib/connection/peer_router.ts
+++ b/packages/serving/src/lib/connection/peer_router.ts
@@ -52,8 +52,8 @@
 
 /**
  * Timeout of a call to a peer, in milliseconds, on top of the time for which
- * the call waits. It leaves room for two slow calls to the store, and ends
- * calls on a connection that no longer responds.
+ * the call waits. It allows for two slow calls to the store, and ends calls on
+ * a connection that no longer responds.
  */
 const PEER_TIMEOUT_MARGIN_MS = 900;
 
--- a/packages/serving/src/lib/process/serving_platform.ts
+++ b/packages/serving/src/lib/process/serving_platform.ts
@@ -39,7 +39,7 @@
   /**
    * Cancels a job.
    *
-   * @param jobId - Id of the job.
+   * @param jobId - ID of the job.
    * @returns `ended` if it is closed now; `unsure` if the store did not confirm
    *   it.
    */
