--- a/packages/gateway/src/lib/connection/placement_exchange.ts
+++ b/packages/gateway/src/lib/connection/placement_exchange.ts
@@ -10,8 +10,8 @@
 
 /**
  * @param socket - Sends and receives the datagrams.
- * @param context - The coordinators to ask, and this host's local view of the
- *     loads.
+ * @param context - The coordinators that receive the requests, and this host's
+ *     local view of the loads.
  * @returns The placement of this host, which also replies to requests of other
  *     hosts.
  */
--- a/packages/gateway/src/lib/connection/placement_message.ts
+++ b/packages/gateway/src/lib/connection/placement_message.ts
@@ -25,7 +25,8 @@
       returning: z.boolean(),
     }),
     /**
-     * Whether the target must be in the data centre of the host that is asked.
+     * Whether the target must be in the data centre of the host that receives
+     * the request.
      */
     near: z.boolean(),
   }),
--- a/packages/gateway/src/lib/process/account_quotas.ts
+++ b/packages/gateway/src/lib/process/account_quotas.ts
@@ -3,10 +3,10 @@
  *
  * Each account is counted by one host, its quota owner, which is chosen among
  * the live hosts by rendezvous hashing. Counting is thus exact without a store
- * and without broadcasts. If the owner does not answer, it is not asked again
- * for a while, and each host admits requests from a small reserve instead.
- * While the list of hosts changes, two hosts may consider themselves the owner;
- * a host that is not the owner by its own list grants nothing.
+ * and without broadcasts. If the owner does not reply, it gets no requests for
+ * a while, and each host admits requests from a small reserve instead. While
+ * the list of hosts changes, two hosts may consider themselves the owner; a
+ * host that is not the owner by its own list grants nothing.
  */
 import {
   QuotaEnforcer,
@@ -66,7 +66,7 @@
  * Number of times that a quota request is sent, because datagrams may be lost.
  */
 const MAX_SENDS = 2;
-/** How long an unresponsive owner is not asked, in milliseconds. */
+/** How long an unresponsive owner gets no requests, in milliseconds. */
 const UNRESPONSIVE_PAUSE_MS = 500;
 /**
  * Interval at which the list of hosts is checked for changes, in milliseconds.
--- a/packages/gateway/src/lib/process/placement.ts
+++ b/packages/gateway/src/lib/process/placement.ts
@@ -7,7 +7,7 @@
  * small fleets, where load reports are recent. In case the coordinator fails,
  * hangs or is unreachable, each placement request has a short timeout, after
  * which the local view decides; after several timeouts in a row the coordinator
- * is not asked for a while.
+ * gets no requests for a while.
  */
 import type {Clock, Counters, EventLog, WaitDemand} from '@oathead/core';
 import type {Target} from '../connection/target.js';
@@ -27,13 +27,13 @@
  */
 const REQUEST_TIMEOUT_MS = 25;
 /**
- * Number of consecutive timeouts after which a coordinator is not asked for a
- * while.
+ * Number of consecutive timeouts after which a coordinator gets no requests for
+ * a while.
  */
 const FAILURES_TO_PAUSE = 3;
 /**
- * How long an unresponsive coordinator is not asked, in milliseconds. By then
- * it has recovered, or another host is about to be elected.
+ * How long an unresponsive coordinator gets no requests, in milliseconds. By
+ * then it has recovered, or another host is about to be elected.
  */
 const PAUSE_MS = 1000;
 /**
@@ -87,7 +87,7 @@
 
 type AnswerHandler = (targetId: string | undefined) => void;
 
-/** Sends placement requests, and answers those of other hosts. */
+/** Sends placement requests, and replies to those of other hosts. */
 export class Placement<P extends LoadPeer> {
   private readonly pendingAnswers = new Map<number, AnswerHandler>();
   private askId = 0;
@@ -145,10 +145,11 @@
   }
 
   /**
-   * If the selected target is remote, asks the coordinator of its data centre,
-   * which knows its own placements at once. Without it, several data centres
-   * would fill the same remote targets, because each knows what the others have
-   * sent there only as of a fifth of a second ago.
+   * If the selected target is remote, sends a placement request to the
+   * coordinator of its data centre, which knows its own placements at once.
+   * Without it, several data centres would fill the same remote targets,
+   * because each knows what the others have sent there only as of a fifth of a
+   * second ago.
    */
   private async placeRemotely(
     first: Target,
--- a/packages/jobs/src/lib/process/item_idle_timeout.ts
+++ b/packages/jobs/src/lib/process/item_idle_timeout.ts
@@ -7,7 +7,7 @@
  * without data, and nothing else ends the run. During bursts on fully loaded
  * engines, an item waits for a slot behind online requests and receives nothing
  * meanwhile; ending its run loses its place in the queue. Doubling the timeout
- * ensures that an item on a slow engine is not ended over and over.
+ * ensures that an item on a slow engine is not ended repeatedly.
  */
 
 /**
--- a/packages/jobs/src/lib/request/job_cancellation.ts
+++ b/packages/jobs/src/lib/request/job_cancellation.ts
@@ -18,7 +18,7 @@
 
 /**
  * An owner that writes results also writes the head. This number of attempts is
- * enough for the cancellation to get in between two of its writes.
+ * enough to write the cancellation between two of its writes.
  */
 const MAX_ATTEMPTS = 8;
 /**
--- a/packages/serving/src/lib/process/serving_options.ts
+++ b/packages/serving/src/lib/process/serving_options.ts
@@ -16,7 +16,7 @@
   logBufferBytes: z.number().int().positive().default(DEFAULT_LOG_BUFFER_BYTES),
   /**
    * Whether this host sends placement requests to the coordinator of its data
-   * centre on a large fleet. It answers those of other hosts in any case.
+   * centre on a large fleet. It replies to those of other hosts in any case.
    */
   coordinators: z.enum(['auto', 'off']).default('auto'),
 });
