--- a/packages/gateway/src/lib/process/placement.ts
+++ b/packages/gateway/src/lib/process/placement.ts
@@ -1,12 +1,13 @@
 /**
  * Selects the target of each request or item of this host, either by the host's
- * own view of the loads or by asking the coordinator of the data centre.
+ * local view of the loads or by requesting a placement from the coordinator of
+ * the data centre.
  *
- * The own view is sufficient while there are plenty of free slots, and in small
- * fleets, where load reports are recent. In case the coordinator fails, hangs
- * or is unreachable, each placement request has a short timeout, after which
- * the own view decides; after several timeouts in a row the coordinator is not
- * asked for a while.
+ * The local view is sufficient while there are plenty of free slots, and in
+ * small fleets, where load reports are recent. In case the coordinator fails,
+ * hangs or is unreachable, each placement request has a short timeout, after
+ * which the local view decides; after several timeouts in a row the coordinator
+ * gets no requests for a while.
  */
 import type {Clock, Counters, EventLog, WaitDemand} from '@oathead/core';
 import type {Target} from '../connection/target.js';
@@ -26,21 +27,21 @@
  */
 const REQUEST_TIMEOUT_MS = 25;
 /**
- * Number of consecutive timeouts after which a coordinator is not asked for a
- * while.
+ * Number of consecutive timeouts after which a coordinator gets no requests for
+ * a while.
  */
 const FAILURES_TO_PAUSE = 3;
 /**
- * How long an unresponsive coordinator is not asked, in milliseconds. By then
- * it has recovered, or another host is about to be elected.
+ * How long an unresponsive coordinator gets no requests, in milliseconds. By
+ * then it has recovered, or another host is about to be elected.
  */
 const PAUSE_MS = 1000;
 /**
  * A local target with less than this share of its slots in use is selected by
- * the own view: requests that other hosts have sent in the meantime fit beside
- * the new one.
+ * the local view: requests that other hosts have sent in the meantime fit
+ * beside the new one.
  */
-const OWN_VIEW_LOAD_SHARE = 0.5;
+const LOCAL_VIEW_LOAD_SHARE = 0.5;
 
 /**
  * Maximum number of excluded targets in a placement request, which must fit
@@ -79,11 +80,14 @@
 export type RequestPlacement = Pick<Placement<LoadPeer>, 'forRequest'>;
 
 /** Placement of batch items. */
-export type ItemPlacement = Pick<Placement<LoadPeer>, 'forItem' | 'asksOthers'>;
+export type ItemPlacement = Pick<
+  Placement<LoadPeer>,
+  'forItem' | 'usesPeerCoordinator'
+>;
 
 type AnswerHandler = (targetId: string | undefined) => void;
 
-/** Sends placement requests, and answers those of other hosts. */
+/** Sends placement requests, and replies to those of other hosts. */
 export class Placement<P extends LoadPeer> {
   private readonly pendingAnswers = new Map<number, AnswerHandler>();
   private askId = 0;
@@ -95,7 +99,7 @@
   constructor(private readonly context: PlacementContext<P>) {}
 
   /** Whether placement requests currently go to another host. */
-  get asksOthers(): boolean {
+  get usesPeerCoordinator(): boolean {
     return this.coordinator() !== undefined;
   }
 
@@ -103,7 +107,8 @@
    * @param service - Service that the target must provide.
    * @param demand - Determines how many requests may be queued at the target.
    * @param tried - IDs of targets that were tried already.
-   * @returns The selected target; undefined if none has room. Never rejects.
+   * @returns The selected target; undefined if none has free capacity. Never
+   *     rejects.
    */
   async forRequest(
     service: string,
@@ -122,13 +127,16 @@
     const {chooser} = this.context;
     const own = chooser.forRequest(service, demand, tried);
     const coordinator = this.coordinator();
-    if (!coordinator || (own && chooser.isLoadBelow(own, OWN_VIEW_LOAD_SHARE)))
+    if (
+      !coordinator ||
+      (own && chooser.isLoadBelow(own, LOCAL_VIEW_LOAD_SHARE))
+    )
       return own;
-    const wish = {lane: 'online', demand, near: false} as const;
+    const criteria = {lane: 'online', demand, near: false} as const;
     const answer = await this.requestPlacement(
       coordinator,
       service,
-      wish,
+      criteria,
       tried,
     );
     return answer === 'silent'
@@ -137,10 +145,11 @@
   }
 
   /**
-   * If the selected target is remote, asks the coordinator of its data centre,
-   * which knows its own placements at once. Without it, several data centres
-   * would fill the same remote targets, because each knows what the others have
-   * sent there only as of a fifth of a second ago.
+   * If the selected target is remote, sends a placement request to the
+   * coordinator of its data centre, which knows its own placements at once.
+   * Without it, several data centres would fill the same remote targets,
+   * because each knows what the others have sent there only as of a fifth of a
+   * second ago.
    */
   private async placeRemotely(
     first: Target,
@@ -153,8 +162,8 @@
     const other =
       dataCentre === self.dataCentre ? undefined : coordinatorOf(dataCentre);
     if (!other || this.isPaused(other)) return first;
-    const wish = {lane: 'online', demand, near: true} as const;
-    const answer = await this.requestPlacement(other, service, wish, tried);
+    const criteria = {lane: 'online', demand, near: true} as const;
+    const answer = await this.requestPlacement(other, service, criteria, tried);
     if (answer === 'silent') return first;
     return answer ?? chooser.forLocalRequest(service, demand, tried);
   }
@@ -208,18 +217,18 @@
   private async requestPlacement(
     coordinator: P,
     service: string,
-    wish: PlacementCriteria,
+    criteria: PlacementCriteria,
     tried: ReadonlySet<string>,
   ): Promise<Target | undefined | 'silent'> {
     const {self, send, counters} = this.context;
     const askId = ++this.askId;
     const excluded = this.excludedTargets(service, tried);
-    const ask = {host: self.id, askId, service, wish, excluded};
+    const request = {host: self.id, askId, service, wish: criteria, excluded};
     const answered = this.awaitAnswer(askId);
-    send({kind: 'ask', ...ask}, coordinator);
+    send({kind: 'ask', ...request}, coordinator);
     const answer = await answered;
     const outcome = answer === 'silent' ? 'silent' : answer ? 'place' : 'full';
-    counters.count('placement_asks', {lane: wish.lane, outcome});
+    counters.count('placement_asks', {lane: criteria.lane, outcome});
     if (answer === 'silent') this.recordTimeout(coordinator);
     else this.failures.delete(coordinator.id);
     if (answer === undefined || answer === 'silent') return answer;
@@ -272,13 +281,13 @@
     log.event('coordinator-silent', {coordinator: id, pauseMs: PAUSE_MS});
   }
 
-  private handleRequest(ask: PlacementRequest): void {
+  private handleRequest(request: PlacementRequest): void {
     const {localCoordinator: coordinator, peer, send} = this.context;
-    const to = peer(ask.host);
-    // A sender that is not known yet times out and uses its own view.
+    const to = peer(request.host);
+    // A sender that is not known yet times out and uses its local view.
     if (!to) return;
-    const {target, itemsToPreempt} = coordinator.place(ask, to.dataCentre);
-    send({kind: 'grant', askId: ask.askId, targetId: target?.id}, to);
+    const {target, itemsToPreempt} = coordinator.place(request, to.dataCentre);
+    send({kind: 'grant', askId: request.askId, targetId: target?.id}, to);
     if (!target) return;
     for (const {host, items} of itemsToPreempt) {
       const holder = peer(host);
--- a/packages/gateway/src/test/process/crash_suspects_test.ts
+++ b/packages/gateway/src/test/process/crash_suspects_test.ts
@@ -10,7 +10,10 @@
 
 /** Three heartbeat intervals of 1.2 s. */
 const EXPIRY_MS = 3600;
-/** Exceeds the expiry time plus the time that hosts take to read of it. */
+/**
+ * Exceeds the expiry time plus the time within which all hosts have read the
+ * list.
+ */
 const EXPIRY_KNOWN_MS = 8000;
 const READ_EVERY_MS = 250;
 const TARGETS = ['i-1', 'i-2', 'i-3'] as const;
@@ -22,14 +25,14 @@
   const store = new MemoryRowStore(clock);
   const log = NO_EVENT_LOG;
   const directory = new TargetDirectory({clock, log});
-  const lapseMs = () => EXPIRY_MS;
+  const expiryMs = () => EXPIRY_MS;
   return {
     suspects: new CrashSuspects({
       store,
       clock,
       log,
       directory,
-      expiryMs: lapseMs,
+      expiryMs,
     }),
     directory,
     advance: (ms: number) => {
@@ -45,12 +48,12 @@
   };
 }
 
-function updateOf(print: string, targets: readonly string[]) {
+function updateOf(requestFingerprint: string, targets: readonly string[]) {
   const value = Buffer.from(JSON.stringify({targets, at: Date.now()}));
   const row = {
     table: SUSPECT_TABLE,
     partition: '',
-    key: print,
+    key: requestFingerprint,
     value,
     version: 1,
   };
--- a/packages/jobs/src/lib/request/job_cancellation.ts
+++ b/packages/jobs/src/lib/request/job_cancellation.ts
@@ -18,7 +18,7 @@
 
 /**
  * An owner that writes results also writes the head. This number of attempts is
- * enough for the cancellation to get in between two of its writes.
+ * enough to write the cancellation between two of its writes.
  */
 const MAX_ATTEMPTS = 8;
 /**
@@ -31,7 +31,7 @@
  * expect the older head, are rejected.
  *
  * @param context - Store, reader, clock and log.
- * @param jobId - Id of the job.
+ * @param jobId - ID of the job.
  * @returns `ended` also if the job was done or cancelled before; `unsure` if
  *   the store did not confirm the write.
  */
