--- a/packages/batch/src/lib/process/batch_worker.ts
+++ b/packages/batch/src/lib/process/batch_worker.ts
@@ -116,7 +116,7 @@
       this.keeper.dropForeign();
       this.pump();
     };
-    this.store.add(membership.onTaken(onHeldChange));
+    this.store.add(membership.onAcquired(onHeldChange));
     this.store.add(membership.onLost(onHeldChange));
     this.store.add(
       membership.onHandOver(({share}) =>
--- a/packages/bench/src/lib/slopes/counting_platform.ts
+++ b/packages/bench/src/lib/slopes/counting_platform.ts
@@ -2,7 +2,7 @@
 import type {Outcome} from '@oathead/core';
 import {MemoryPlatform} from '@oathead/stores';
 import type {
-  Committed,
+  TransactionResult,
   Host,
   HostList,
   ListOptions,
@@ -98,7 +98,9 @@
   }
 
   /** Named for its first row: the marker of what it is for. */
-  write(transaction: Transaction): Promise<Outcome<Committed, StoreError>> {
+  write(
+    transaction: Transaction,
+  ): Promise<Outcome<TransactionResult, StoreError>> {
     const {writes} = transaction;
     const key = writes[0]?.key ?? '';
     this.counter.count('write', key, writes.length, sizeOf(writes));
--- a/packages/bench/src/lib/slopes/work_slopes.ts
+++ b/packages/bench/src/lib/slopes/work_slopes.ts
@@ -2,7 +2,12 @@
  * Processor time and memory of one entry's own work, measured in this process
  * on the real entry in virtual time: no socket or other process adds to it.
  */
-import {HEAD_KEY, HEAD_ROW, RECENT_JOBS, withJob} from '@oathead/membership';
+import {
+  HEAD_KEY,
+  HEAD_ROW,
+  MAX_RECENT_JOBS,
+  withJob,
+} from '@oathead/membership';
 import type {Head} from '@oathead/membership';
 import {MemoryPlatform} from '@oathead/stores';
 import type {Platform} from '@oathead/stores';
@@ -30,7 +35,7 @@
   {entries: 340, targets: 3_100},
 ];
 const RESOURCE_COUNTS = [4_000, 8_000, 16_000, 32_000] as const;
-const HEAD_JOBS = [0, 16, 32, RECENT_JOBS] as const;
+const HEAD_JOBS = [0, 16, 32, MAX_RECENT_JOBS] as const;
 
 /** @returns All slopes of this kind. */
 export async function workSlopes(): Promise<readonly Slope[]> {
--- a/packages/entry/src/lib/connection/target_connection.ts
+++ b/packages/entry/src/lib/connection/target_connection.ts
@@ -17,10 +17,10 @@
   TargetEvent,
   TargetState,
 } from '@oathead/core';
-import {logOf} from '@oathead/observe';
+import {createDebugLog} from '@oathead/observe';
 import type {ReportingLink} from '@oathead/wire';
 
-const log = logOf('entry:targets');
+const log = createDebugLog('entry:targets');
 
 /** What a connection to a target needs. */
 export interface TargetConnectionOptions {
--- a/packages/entry/src/lib/process/run_entry.ts
+++ b/packages/entry/src/lib/process/run_entry.ts
@@ -12,7 +12,7 @@
   systemSeed,
 } from '@oathead/core';
 import {MEMBERSHIP_DEFAULTS} from '@oathead/membership';
-import {Metrics, logOf, startTracing} from '@oathead/observe';
+import {Metrics, createDebugLog, startTracing} from '@oathead/observe';
 import type {Tracing} from '@oathead/observe';
 import type {Platform} from '@oathead/stores';
 import {TrpcTargetLink} from '@oathead/wire';
@@ -28,7 +28,7 @@
 import type {EntrySettings} from './entry_settings.js';
 import {apiListener} from './http_server.js';
 
-const log = logOf('entry:process');
+const log = createDebugLog('entry:process');
 const PEER_SILENCE_MS = 1000;
 
 /** A running entry. */
--- a/packages/entry/src/lib/request/keyed_requests.ts
+++ b/packages/entry/src/lib/request/keyed_requests.ts
@@ -65,7 +65,7 @@
   /** @param deps - Stores, clock and the way to the targets. */
   constructor(private readonly deps: KeyedRequestsDeps) {
     const {membership, answers, clock} = deps;
-    membership.onTaken(({share}) => {
+    membership.onAcquired(({share}) => {
       this.recovering.set(share, clock.now() + RECOVERY_MS);
     });
     // A lease that ran out in an outage of the store leaves the share here:
--- a/packages/entry/src/test/fakes.ts
+++ b/packages/entry/src/test/fakes.ts
@@ -114,7 +114,8 @@
 export class OneOwner implements Partial<Membership> {
   readonly shareCount = 1;
   owner: string;
-  private readonly takenCallbacks: Parameters<Membership['onTaken']>[0][] = [];
+  private readonly takenCallbacks: Parameters<Membership['onAcquired']>[0][] =
+    [];
 
   constructor(
     readonly entryId: string,
@@ -146,7 +147,7 @@
       : undefined;
   }
 
-  onTaken(callback: Parameters<Membership['onTaken']>[0]): Disposable {
+  onAcquired(callback: Parameters<Membership['onAcquired']>[0]): Disposable {
     this.takenCallbacks.push(callback);
     return {[Symbol.dispose]: () => {}};
   }
--- a/packages/membership/src/lib/process/head_row.ts
+++ b/packages/membership/src/lib/process/head_row.ts
@@ -24,7 +24,7 @@
  * Number of recently changed jobs that the head lists. An entry that missed
  * more changes than that lists all open jobs instead.
  */
-export const RECENT_JOBS = 64;
+export const MAX_RECENT_JOBS = 64;
 
 /** The head of a fleet in which nothing has been stored yet. */
 export const EMPTY_HEAD: Head = {
@@ -69,7 +69,7 @@
  * @returns The head that announces the change of this job.
  */
 export function withJob(head: Head, job: string): Head {
-  const recentJobs = [job, ...head.recentJobs].slice(0, RECENT_JOBS);
+  const recentJobs = [job, ...head.recentJobs].slice(0, MAX_RECENT_JOBS);
   return {...head, jobs: head.jobs + 1, recentJobs};
 }
 
--- a/packages/membership/src/lib/process/leased_membership.ts
+++ b/packages/membership/src/lib/process/leased_membership.ts
@@ -145,14 +145,14 @@
   }
 
   /** Called again for a share that was lost and regained. */
-  onTaken(callback: (share: HeldShare) => void): Disposable {
+  onAcquired(callback: (share: HeldShare) => void): Disposable {
     return this.takenCallbacks.add(callback);
   }
 
   /**
    * Called when the lease expires by this entry's clock, and again if another
    * entry turns out to own the share. A share that no other entry took over is
-   * reported through {@link onTaken} again, with the same epoch.
+   * reported through {@link onAcquired} again, with the same epoch.
    */
   onLost(callback: (share: HeldShare) => void): Disposable {
     return this.lostCallbacks.add(callback);
--- a/packages/membership/src/lib/process/membership.ts
+++ b/packages/membership/src/lib/process/membership.ts
@@ -74,7 +74,7 @@
   /** Registers a callback for each read of the head. */
   onHead(callback: (head: Head) => void): Disposable;
   /** Registers a callback for each share that this entry acquires. */
-  onTaken(callback: (share: HeldShare) => void): Disposable;
+  onAcquired(callback: (share: HeldShare) => void): Disposable;
   /**
    * Registers a callback for each share that this entry loses, by take-over, by
    * hand-over or because its lease expired.
--- a/packages/membership/src/test/process/leased_membership_test.ts
+++ b/packages/membership/src/test/process/leased_membership_test.ts
@@ -121,7 +121,7 @@
     const before = entries.map(epochs);
     const events: string[] = [];
     entries[0]!.members.onLost(() => events.push('lost'));
-    entries[0]!.members.onTaken(() => events.push('taken'));
+    entries[0]!.members.onAcquired(() => events.push('taken'));
     const rule = fleet.faults.add(outage);
     await fleet.clock.advance(600_000);
     t.deepEqual(entries.map(count), [0, 0, 0], 'the leases have expired');
--- a/packages/observe/src/lib/process/log.ts
+++ b/packages/observe/src/lib/process/log.ts
@@ -5,13 +5,13 @@
 import debug from 'debug';
 
 /** Writes one line, with the format placeholders of the `debug` package. */
-export type Log = (format: string, ...values: readonly unknown[]) => void;
+export type DebugLog = (format: string, ...values: readonly unknown[]) => void;
 
 /**
  * @param area - Component that writes the log, such as `entry:links`. Appended
  *     to the `oathead:` namespace.
  * @returns The debug log of that component.
  */
-export function logOf(area: string): Log {
+export function createDebugLog(area: string): DebugLog {
   return debug(`oathead:${area}`);
 }
--- a/packages/observe/src/lib/process/settings.ts
+++ b/packages/observe/src/lib/process/settings.ts
@@ -65,7 +65,7 @@
  * @param err - Why the settings file was rejected.
  * @returns One line for each problem: file, path and message.
  */
-export function settingsErrorText(err: SettingsError): string {
+export function formatSettingsError(err: SettingsError): string {
   return err.problems
     .map(({path, message}) => `${err.file}: ${path}: ${message}`)
     .join('\n');
--- a/packages/observe/src/test/process/settings_test.ts
+++ b/packages/observe/src/test/process/settings_test.ts
@@ -3,7 +3,7 @@
 import {join} from 'node:path';
 import test from 'ava';
 import {z} from 'zod';
-import {loadSettings, settingsErrorText} from '../../lib/process/settings.js';
+import {loadSettings, formatSettingsError} from '../../lib/process/settings.js';
 
 const SCHEMA = z.strictObject({
   port: z.int().min(1),
@@ -31,7 +31,7 @@
     'hosts.0',
     'port',
   ]);
-  t.is(settingsErrorText(loaded.err).split('\n').length, 3);
+  t.is(formatSettingsError(loaded.err).split('\n').length, 3);
 });
 
 test('distinguishes invalid JSON from a missing file', async t => {
--- a/packages/proofs/src/lib/connection/direct_channel.ts
+++ b/packages/proofs/src/lib/connection/direct_channel.ts
@@ -60,7 +60,7 @@
   return {
     hello,
     api: apiOver(end),
-    get lastHeardAt() {
+    get lastReceivedAt() {
       return end.lastHeardAt;
     },
     get isOpen() {
--- a/packages/serving/src/lib/process/serving_components.ts
+++ b/packages/serving/src/lib/process/serving_components.ts
@@ -281,7 +281,7 @@
 ): JobOperations {
   const {reader} = context;
   const owner = () => jobOwnership.ownerForNewJob();
-  const sinceAnswerMs = () => context.store.sinceAnswerMs;
+  const sinceAnswerMs = () => context.store.sinceResponseMs;
   const intake = new JobIntake({...context, owner, sinceAnswerMs});
   return {
     reader,
--- a/packages/serving/src/lib/process/serving_process.ts
+++ b/packages/serving/src/lib/process/serving_process.ts
@@ -143,7 +143,7 @@
 
   private startPeerServer(): Disposable {
     const {identity} = this.platform;
-    const store = this.components.store.forPeers;
+    const store = this.components.store.relayForPeers;
     const snapshot = () => this.feeds.snapshot();
     const {ip, port} = identity.control;
     return servePeers({store, snapshot}, ip, port);
--- a/packages/soak/src/lib/process/fault_handlers.ts
+++ b/packages/soak/src/lib/process/fault_handlers.ts
@@ -81,7 +81,7 @@
 }
 
 async function loseHistory({fleet}: FaultCall): Promise<void> {
-  fleet.store.rows.loseHistory();
+  fleet.store.rows.discardHistory();
 }
 
 function spoilStoreLink(call: FaultCall): Promise<void> {
--- a/packages/stand_ins/src/lib/process/faulty_platform.ts
+++ b/packages/stand_ins/src/lib/process/faulty_platform.ts
@@ -1,7 +1,7 @@
 /** The platform's services behind fault switches. */
 import type {Outcome} from '@oathead/core';
 import type {
-  Committed,
+  TransactionResult,
   Host,
   HostList,
   ListOptions,
@@ -43,7 +43,9 @@
     return this.faults.apply(call, () => this.table.list(prefix, options));
   }
 
-  write(transaction: Transaction): Promise<Outcome<Committed, StoreError>> {
+  write(
+    transaction: Transaction,
+  ): Promise<Outcome<TransactionResult, StoreError>> {
     const keys = transaction.writes.map(write => write.key);
     const call = {store: 'table', method: 'write', keys, writes: true} as const;
     return this.faults.apply(call, () => this.table.write(transaction));
--- a/packages/stores/src/lib/process/http_table.ts
+++ b/packages/stores/src/lib/process/http_table.ts
@@ -8,7 +8,7 @@
 } from '../connection/store_responses.js';
 import type {StoreConnection} from '../connection/store_connection.js';
 import type {
-  Committed,
+  TransactionResult,
   ListOptions,
   Row,
   StoreError,
@@ -39,7 +39,9 @@
     return result.ok ? success(result.value.rows) : result;
   }
 
-  write(transaction: Transaction): Promise<Outcome<Committed, StoreError>> {
+  write(
+    transaction: Transaction,
+  ): Promise<Outcome<TransactionResult, StoreError>> {
     const req = post('/v1/table/write', transaction, true);
     return callJson(this.connection, req, COMMITTED_SCHEMA);
   }
--- a/packages/stores/src/lib/process/memory_row_store.ts
+++ b/packages/stores/src/lib/process/memory_row_store.ts
@@ -9,7 +9,7 @@
   RowStore,
   RowStoreOutcome,
   RowTransaction,
-  StoreMoment,
+  StoreTimestamp,
   VersionedRow,
 } from './row_store.js';
 
@@ -33,7 +33,7 @@
    * Discards the change history but keeps the rows, so that feeds that start
    * from an earlier version fail with `history-lost`.
    */
-  loseHistory(): void {
+  discardHistory(): void {
     this.history = [];
     this.historyStart = this.version;
   }
@@ -44,7 +44,7 @@
   }
 
   /** {@inheritDoc RowStore.transact} */
-  async transact(transaction: RowTransaction): RowStoreOutcome<StoreMoment> {
+  async transact(transaction: RowTransaction): RowStoreOutcome<StoreTimestamp> {
     const {expect, puts, removes} = transaction;
     const allMatch = expect.every(
       ref => (this.rows.get(rowId(ref))?.version ?? 0) === ref.version,
@@ -121,7 +121,7 @@
     return changes.reverse();
   }
 
-  private timestamp(): StoreMoment {
+  private timestamp(): StoreTimestamp {
     return {version: this.version, storeTimeMs: this.storeTimeMs()};
   }
 
--- a/packages/stores/src/lib/process/memory_table.ts
+++ b/packages/stores/src/lib/process/memory_table.ts
@@ -2,7 +2,7 @@
 import {failure, success, type Outcome} from '@oathead/core';
 import {
   MAX_LIST_LIMIT,
-  type Committed,
+  type TransactionResult,
   type Json,
   type ListOptions,
   type Row,
@@ -47,7 +47,7 @@
   // Runs without awaiting, so no other call observes a partial transaction.
   async write(
     transaction: Transaction,
-  ): Promise<Outcome<Committed, StoreError>> {
+  ): Promise<Outcome<TransactionResult, StoreError>> {
     for (const {key, version} of transaction.checks) {
       const current = this.rows.get(key)?.version ?? 0;
       if (current !== version)
--- a/packages/stores/src/lib/process/relayed_row_store.ts
+++ b/packages/stores/src/lib/process/relayed_row_store.ts
@@ -28,7 +28,7 @@
   RowStoreError,
   RowStoreOutcome,
   RowTransaction,
-  StoreMoment,
+  StoreTimestamp,
 } from './row_store.js';
 
 /** Another host that forwards calls to the store. */
@@ -86,7 +86,7 @@
    * Otherwise a call could go from one partitioned host to another and wait for
    * the timeouts of both.
    */
-  readonly forPeers: RowStoreRelay = {
+  readonly relayForPeers: RowStoreRelay = {
     transact: transaction =>
       this.callDirect(store => store.transact(transaction)),
     read: query => this.callDirect(store => store.read(query)),
@@ -104,7 +104,7 @@
   ) {}
 
   /** Milliseconds since the store last responded, directly or by relay. */
-  get sinceAnswerMs(): number {
+  get sinceResponseMs(): number {
     return this.context.clock.now() - this.lastResponseAt;
   }
 
@@ -114,7 +114,7 @@
   }
 
   /** {@inheritDoc RowStore.transact} */
-  transact(transaction: RowTransaction): RowStoreOutcome<StoreMoment> {
+  transact(transaction: RowTransaction): RowStoreOutcome<StoreTimestamp> {
     return this.call(store => store.transact(transaction));
   }
 
@@ -152,7 +152,9 @@
     return this.direct.removeObject(name);
   }
 
-  private async call<T extends StoreMoment>(call: Call<T>): RowStoreOutcome<T> {
+  private async call<T extends StoreTimestamp>(
+    call: Call<T>,
+  ): RowStoreOutcome<T> {
     const outcome = await this.callDirectOrRelayed(call);
     if (!isUnreachable(outcome)) this.lastResponseAt = this.context.clock.now();
     if (outcome.ok) this.newest = Math.max(this.newest, outcome.value.version);
--- a/packages/stores/src/lib/process/row_store.ts
+++ b/packages/stores/src/lib/process/row_store.ts
@@ -39,7 +39,7 @@
 }
 
 /** The point in time at which a response of the store was current. */
-export interface StoreMoment {
+export interface StoreTimestamp {
   /** The highest version of any row. */
   readonly version: number;
   /** The store's monotonic clock, in milliseconds. */
@@ -59,7 +59,7 @@
 }
 
 /** A consistent snapshot of the selected rows, ordered by key. */
-export interface RowPage extends StoreMoment {
+export interface RowPage extends StoreTimestamp {
   readonly rows: readonly VersionedRow[];
   /** Whether more rows match than were returned. */
   readonly hasMore: boolean;
@@ -71,7 +71,7 @@
   | {readonly kind: 'removed'; readonly ref: RowRef; readonly version: number};
 
 /** Changes of a table, in the order in which they were applied. */
-export interface RowChanges extends StoreMoment {
+export interface RowChanges extends StoreTimestamp {
   readonly changes: readonly RowChange[];
 }
 
@@ -105,7 +105,7 @@
    * @param transaction - Writes and their preconditions.
    * @returns The version and time of the store after the write.
    */
-  transact(transaction: RowTransaction): RowStoreOutcome<StoreMoment>;
+  transact(transaction: RowTransaction): RowStoreOutcome<StoreTimestamp>;
   /**
    * Reads rows of one partition.
    *
--- a/packages/stores/src/lib/process/table_store.ts
+++ b/packages/stores/src/lib/process/table_store.ts
@@ -40,7 +40,7 @@
 }
 
 /** Result of a committed transaction: the new version of each put row, by key. */
-export interface Committed {
+export interface TransactionResult {
   readonly versions: Readonly<Record<string, number>>;
 }
 
@@ -81,5 +81,7 @@
     options?: ListOptions,
   ): Promise<Outcome<readonly Row[], StoreError>>;
   /** Applies a transaction atomically. */
-  write(transaction: Transaction): Promise<Outcome<Committed, StoreError>>;
+  write(
+    transaction: Transaction,
+  ): Promise<Outcome<TransactionResult, StoreError>>;
 }
--- a/packages/stores/src/test/process/relayed_row_store_test.ts
+++ b/packages/stores/src/test/process/relayed_row_store_test.ts
@@ -52,11 +52,11 @@
 test('a host that depends on relays refuses to relay at once', async t => {
   const direct = new FakeStore();
   const store = newStore(direct, [new FakeStore()]);
-  t.true((await store.forPeers.changes('t', 0, 0)).ok);
+  t.true((await store.relayForPeers.changes('t', 0, 0)).ok);
   direct.err = TIMED_OUT;
   t.true((await store.changes('t', 0, 0)).ok);
   const {calls} = direct;
-  const result = await store.forPeers.changes('t', 0, 0);
+  const result = await store.relayForPeers.changes('t', 0, 0);
   t.is(result.ok ? 'ok' : result.err.kind, 'refused');
   t.is(direct.calls, calls);
 });
--- a/packages/stores/src/test/process/table_watch_test.ts
+++ b/packages/stores/src/test/process/table_watch_test.ts
@@ -77,7 +77,7 @@
   const {watch, keys} = follow(storeWithLostHistory);
   await setTimeout(60);
   await remove(store, 'a');
-  store.loseHistory();
+  store.discardHistory();
   lost = true;
   await setTimeout(100);
   t.deepEqual(keys(), ['b']);
--- a/packages/target/src/lib/process/daemon.ts
+++ b/packages/target/src/lib/process/daemon.ts
@@ -1,5 +1,5 @@
 /** The running target process: listens, serves, and stops with grace. */
-import {logOf, startTracing} from '@oathead/observe';
+import {createDebugLog, startTracing} from '@oathead/observe';
 import type {Metrics} from '@oathead/observe';
 import type {Clock, EngineClient, Random, ServiceClient} from '@oathead/core';
 import {DisposableStore} from '@oathead/core';
@@ -37,7 +37,7 @@
 /** Longest wait for peers to close, in milliseconds. */
 const CLOSE_WAIT_MS = 1_000;
 
-const log = logOf('target');
+const log = createDebugLog('target');
 
 /**
  * Runs until asked to stop; then nothing in flight is cut off within the grace
--- a/packages/target/src/lib/process/engine_watch.ts
+++ b/packages/target/src/lib/process/engine_watch.ts
@@ -1,10 +1,10 @@
 /** Watches whether the engine answers, and what it says of itself. */
 import {InvariantError, repeat} from '@oathead/core';
 import type {Clock, Counters, EngineClient, EngineLoad} from '@oathead/core';
-import {logOf} from '@oathead/observe';
+import {createDebugLog} from '@oathead/observe';
 import {CacheIndex} from './cache_index.js';
 
-const log = logOf('target:engine');
+const log = createDebugLog('target:engine');
 
 /** How often the engine is asked. */
 export interface EngineWatchSettings {
--- a/packages/target/src/lib/process/main.ts
+++ b/packages/target/src/lib/process/main.ts
@@ -1,6 +1,6 @@
 /** The command line of `oathead-target`. */
 import {SYSTEM_CLOCK, seededRandom, systemSeed} from '@oathead/core';
-import {Metrics, loadSettings, settingsErrorText} from '@oathead/observe';
+import {Metrics, loadSettings, formatSettingsError} from '@oathead/observe';
 import {createRequire} from 'node:module';
 import yargs from 'yargs';
 import {runDaemon} from './daemon.js';
@@ -58,7 +58,7 @@
   }
   const settings = await loadSettings(line.config, TARGET_SETTINGS);
   if (!settings.ok) {
-    parts.printError(settingsErrorText(settings.err));
+    parts.printError(formatSettingsError(settings.err));
     return EXIT_USAGE;
   }
   try {
--- a/packages/wire/src/lib/connection/channel.ts
+++ b/packages/wire/src/lib/connection/channel.ts
@@ -28,7 +28,7 @@
 /** An open connection on which the target process has responded. */
 export class Channel implements LinkChannel {
   /** Time at which data was last received, on the clock of this process. */
-  lastHeardAt: number;
+  lastReceivedAt: number;
   private open = true;
 
   private constructor(
@@ -39,9 +39,9 @@
     events: ChannelEvents,
     clock: Clock,
   ) {
-    this.lastHeardAt = clock.now();
+    this.lastReceivedAt = clock.now();
     const heard = () => {
-      this.lastHeardAt = clock.now();
+      this.lastReceivedAt = clock.now();
       events.heard(this);
     };
     socket.on('message', heard);
--- a/packages/wire/src/lib/connection/link_channel.ts
+++ b/packages/wire/src/lib/connection/link_channel.ts
@@ -11,7 +11,7 @@
   /** Client for the procedures of the target process. */
   readonly api: TRPCClient<TargetRouter>;
   /** Time at which data was last received, on the clock of this process. */
-  readonly lastHeardAt: number;
+  readonly lastReceivedAt: number;
   /** Whether calls can be made on this channel. */
   readonly isOpen: boolean;
   /** Sends a ping, to which a responsive target process replies. */
--- a/packages/wire/src/lib/connection/link_connection.ts
+++ b/packages/wire/src/lib/connection/link_connection.ts
@@ -166,7 +166,7 @@
   private adopt(channel: LinkChannel): void {
     const old = this.channel;
     this.channel = channel;
-    this.lastActivityAt = channel.lastHeardAt;
+    this.lastActivityAt = channel.lastReceivedAt;
     this.step({type: 'opened'});
     old?.[Symbol.dispose]();
   }
@@ -178,7 +178,7 @@
 
   private onReceived(from: LinkChannel): void {
     if (from !== this.channel) return;
-    this.lastActivityAt = from.lastHeardAt;
+    this.lastActivityAt = from.lastReceivedAt;
     if (this.state === 'open') return;
     this.step({type: 'heard'});
     for (const call of this.waiting) call.use(from);
