--- a/packages/core/src/lib/connection/target_choice.ts
+++ b/packages/core/src/lib/connection/target_choice.ts
@@ -40,7 +40,7 @@
   readonly overCapacityMs: number;
 }
 
-/** Default parameters, which gave good results on all benchmark traces. */
+/** Default parameters of the load balancing. */
 export const DEFAULT_CHOICE_TUNING: ChoiceTuning = {
   affinityBound: 2,
   prefillTokenMs: 0.1,
--- a/packages/core/src/lib/process/batch_controller.ts
+++ b/packages/core/src/lib/process/batch_controller.ts
@@ -37,7 +37,7 @@
   readonly prefillQueueSteps: number;
 }
 
-/** The default tuning; this one set of values suits all benchmark traces. */
+/** Default parameters of the batch controller. */
 export const DEFAULT_BATCH_TUNING: BatchTuning = {
   slowdownMargin: 0.4,
   probeStreams: 4,
